--- a/src/service/waiting_jobs.hpp
+++ b/src/api/dependency_admission.hpp
@@ -1,18 +1,18 @@
 // What users are told of jobs that wait for others, and what a submission that names others comes to.
 #pragma once
 
-#include "service/final_state_reader.hpp"
-#include "service/node.hpp"
-#include "service/replica.hpp"
+#include "cluster/node.hpp"
+#include "store/final_state_reader.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class WaitingJobs {
+class DependencyAdmission {
   public:
-    WaitingJobs(Node& node, Replica& replica, FinalStateReader& finals)
-        : node_(node), replica_(replica), finals_(finals) {}
+    DependencyAdmission(Node& node, Replica& replica, FinalStateReader& final_states)
+        : node_(node), replica_(replica), final_states_(final_states) {}
 
-    enum class Needs : std::uint8_t {
+    enum class DependencyStatus : std::uint8_t {
         none,            // all are done: the job is like any other
         wait,            // the job has become a waiting one
         cancelled,       // one of them is cancelled, and so is the job
@@ -21,29 +21,30 @@
     };
     // Looks at the jobs that a submission names, and makes the job a waiting one if it has to wait. The
     // store's news of them is from after the call.
-    io::Task<Needs> settle_needs(core::Job& job, io::Micros deadline);
+    io::Task<DependencyStatus> resolve_dependencies(core::Job& job, io::Micros deadline);
 
     enum class Verdict : std::uint8_t { not_cancelled, cancelled, undecided };
     // Whether the waiting job is cancelled because of a job that it needs. The replica must be as new as the
     // question. A cancellation told to any user decides from that moment on, whether or not it has been
     // written into the records of the jobs that depend on it, so that no node gives an older answer.
-    io::Task<Verdict> cancelled_by_need(std::string id, io::Micros deadline);
+    io::Task<Verdict> cancelled_by_dependency(std::string id, io::Micros deadline);
 
   private:
     // True when every node that may act or answer understands waiting jobs.
     bool everyone_knows_waiting_jobs() const;
     bool knows_waiting_jobs(const core::Member& member) const;
     // Nothing: undecided. Unfinished ones are left in the list.
-    io::Task<std::optional<Needs>> drop_ended(std::vector<std::string>& needs, io::Micros deadline);
+    io::Task<std::optional<DependencyStatus>> drop_ended(std::vector<std::string>& dependencies,
+                                                         io::Micros deadline);
     // Reads the endings of those that are neither known nor unfinished in the replica.
-    io::Task<bool> read_endings(std::vector<std::string> jobs, io::Micros deadline);
-    std::vector<std::string> undecided(const std::vector<std::string>& needs) const;
+    io::Task<bool> read_terminal_states(std::vector<std::string> jobs, io::Micros deadline);
+    std::vector<std::string> undecided(const std::vector<std::string>& dependencies) const;
     // Puts a list that is too long for the job's record into records beside it.
     io::Task<bool> store_list(core::Job& job, io::Micros deadline);
 
     Node& node_;
     Replica& replica_;
-    FinalStateReader& finals_;
+    FinalStateReader& final_states_;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/users_api.hpp
+++ b/src/api/user_api.hpp
@@ -3,17 +3,17 @@
 
 #include <optional>
 
-#include "service/final_state_reader.hpp"
-#include "service/node.hpp"
-#include "service/replica.hpp"
-#include "service/waiting_jobs.hpp"
+#include "api/dependency_admission.hpp"
+#include "cluster/node.hpp"
+#include "store/final_state_reader.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class UsersApi {
+class UserApi {
   public:
-    UsersApi(Node& n, Replica& r, FinalStateReader& finals)
-        : node_(n), replica_(r), finals_(finals), waiting_jobs_(n, r, finals) {}
+    UserApi(Node& n, Replica& r, FinalStateReader& final_states)
+        : node_(n), replica_(r), final_states_(final_states), dependency_admission_(n, r, final_states) {}
     io::Task<io::HttpResponse> submit(io::HttpRequest request);
     io::Task<io::HttpResponse> poll(std::string id);
     io::Task<io::HttpResponse> cancel(std::string id);
@@ -26,16 +26,16 @@
     // A well-formed submission.
     io::Task<io::HttpResponse> decide_submission(core::Job job);
     // Commits the job, or that it is cancelled because a job that it needs is.
-    io::Task<io::HttpResponse> accept(core::Job job, bool cancelled_by_need, io::Micros deadline);
-    // The state of a job that the state service had at that revision.
-    io::Task<io::HttpResponse> describe_known(std::string id, core::Stamp revision, io::Micros deadline);
+    io::Task<io::HttpResponse> accept(core::Job job, bool cancelled_by_dependency, io::Micros deadline);
+    // The state of a job that the store had at that revision.
+    io::Task<io::HttpResponse> describe_known(std::string id, core::Revision revision, io::Micros deadline);
     void drop_unknown_types(core::Job& job) const;
     // The answer to a cancellation of a job that the replica does not have.
     io::Task<io::HttpResponse> answer_ended(std::string id, io::Micros deadline);
     // Nothing when the record has changed meanwhile, and the replica has caught up with that.
     io::Task<std::optional<io::HttpResponse>> commit_cancel(const core::JobEntry& entry, io::Micros deadline);
     // The answer that a job is cancelled. The other nodes are told first: one of them may keep the job's
-    // tasks alive without sight of the state service.
+    // tasks alive without sight of the store.
     io::HttpResponse confirm_cancel(const std::string& id) const;
     // The state of an unfinished job from the replica, which must be as new as the question; `absent` when
     // the replica has no such job.
@@ -51,8 +51,8 @@
     Replica& replica_;
     std::size_t submitting_ = 0;
     std::size_t polling_ = 0;
-    FinalStateReader& finals_;
-    WaitingJobs waiting_jobs_;
+    FinalStateReader& final_states_;
+    DependencyAdmission dependency_admission_;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/users_api_cancel.cpp
+++ b/src/api/user_api_cancel.cpp
@@ -1,8 +1,8 @@
 // Cancellations: committed by whichever node is asked, and told to the others before the user is answered.
-#include "service/user_responses.hpp"
-#include "service/users_api.hpp"
+#include "api/user_api.hpp"
+#include "api/user_responses.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::HttpResponse;
 using io::Micros;
@@ -17,8 +17,8 @@
     job.cancelled = true;
     job.cancelled_at = io::wall_now();
     // What a waiting job needed does not matter any more.
-    job.awaits.clear();
-    job.await_parts = 0;
+    job.dependencies.clear();
+    job.dependency_parts = 0;
     if (wire::job_record(job).dump().size() <= value_limit) return job;
     // Accepted under larger limits. Nothing of a cancelled job is placed any more.
     job.types.reset();
@@ -28,29 +28,29 @@
 }
 }  // namespace
 
-HttpResponse UsersApi::confirm_cancel(const std::string& id) const {
-    const core::JobEntry* entry = node_.ledger.find(id);
-    if (entry != nullptr && entry->job.cancelled && node_.announce_cancel) {
-        node_.announce_cancel({{{id, entry->stamp, entry->job.cancelled_at.count()}}});
+HttpResponse UserApi::confirm_cancel(const std::string& id) const {
+    const core::JobEntry* entry = node_.job_table.find(id);
+    if (entry != nullptr && entry->job.cancelled && node_.announce_cancellation) {
+        node_.announce_cancellation({{{id, entry->mod_revision, entry->job.cancelled_at.count()}}});
     }
     return response_with(200, wire::job_answer(id, wire::JobStatus::cancelled));
 }
 
-Task<HttpResponse> UsersApi::cancel(std::string id) {
+Task<HttpResponse> UserApi::cancel(std::string id) {
     if (!wire::is_job_id(id)) co_return plain_response(404);
-    if (const FinalState* ended = finals_.known(id))
+    if (const FinalState* ended = final_states_.known(id))
         co_return response_with(200, wire::job_answer(id, ended->status));
     if (submitting_ >= kMostSubmitting) co_return retry_later(429);
     const RequestCount counted{submitting_};
-    if (!node_.synced || !node_.state.reachable(steady_now())) co_return retry_later();
+    if (!node_.replica_loaded || !node_.state.reachable(steady_now())) co_return retry_later();
     const Micros deadline = steady_now() + kCancelTime;
     for (int attempt = 0; attempt < kCancelAttempts; ++attempt) {
-        if (node_.ledger.find(id) == nullptr) {
-            auto index = replica_.caught_up(deadline);
+        if (node_.job_table.find(id) == nullptr) {
+            auto index = replica_.wait_for_read_index(deadline);
             const bool current = co_await std::move(index);
             if (!current) co_return retry_later();
         }
-        const core::JobEntry* entry = node_.ledger.find(id);
+        const core::JobEntry* entry = node_.job_table.find(id);
         if (entry == nullptr) {
             auto answering = answer_ended(id, deadline);
             HttpResponse response = co_await std::move(answering);
@@ -64,10 +64,10 @@
     co_return retry_later();
 }
 
-Task<HttpResponse> UsersApi::answer_ended(std::string id, Micros deadline) {
+Task<HttpResponse> UserApi::answer_ended(std::string id, Micros deadline) {
     FinalState final_state;
-    core::Stamp revision = 0;
-    auto reading = finals_.find(id, final_state, revision, deadline);
+    core::Revision revision = 0;
+    auto reading = final_states_.find(id, final_state, revision, deadline);
     const Lookup found = co_await std::move(reading);
     if (found == Lookup::failed) co_return retry_later();
     if (found == Lookup::absent) co_return plain_response(404);
@@ -75,27 +75,27 @@
 }
 
 // The entry is not touched after the first suspension: it may be gone by then.
-Task<std::optional<HttpResponse>> UsersApi::commit_cancel(const core::JobEntry& entry, Micros deadline) {
+Task<std::optional<HttpResponse>> UserApi::commit_cancel(const core::JobEntry& entry, Micros deadline) {
     const std::string id = entry.job.id;
-    const core::Stamp stamp = entry.stamp;
+    const core::Revision mod_revision = entry.mod_revision;
     const wire::Json record = wire::job_record(cancelled_copy(entry.job, node_.settings.value_limit()));
     wire::Transaction transaction;
-    transaction.conditions = {{keys::job(id), stamp}};
+    transaction.conditions = {{keys::job(id), mod_revision}};
     transaction.writes.push_back({keys::job(id), record, 0});
     const CommitPriority priority{true, std::nullopt};
     auto committing = node_.state.commit(std::move(transaction), deadline, priority);
     const CommitResult result = co_await std::move(committing);
-    if (result.outcome == Commit::done) {
+    if (result.outcome == CommitOutcome::committed) {
         replica_.committed({keys::job(id), record, result.revision});
-        node_.work.notify_all();
+        node_.scheduling_needed.notify_all();
         co_return confirm_cancel(id);
     }
-    if (result.outcome != Commit::conflict) co_return retry_later();
+    if (result.outcome != CommitOutcome::conflict) co_return retry_later();
     // It was finished or cancelled elsewhere in between.
-    auto reaching = replica_.reach_conflict({{keys::job(id), stamp}}, result, deadline);
+    auto reaching = replica_.wait_for_conflict({{keys::job(id), mod_revision}}, result, deadline);
     const bool reached = co_await std::move(reaching);
     if (!reached) co_return retry_later();
     co_return std::nullopt;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/users_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <set>
 
-#include "service/user_responses.hpp"
-#include "service/users_api.hpp"
+#include "api/user_api.hpp"
+#include "api/user_responses.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::HttpResponse;
 using io::Micros;
@@ -27,12 +27,12 @@
 }
 }  // namespace
 
-std::optional<std::string> UsersApi::impossible(const core::Job& j) const {
+std::optional<std::string> UserApi::impossible(const core::Job& j) const {
     const auto team = node_.settings.teams.find(j.team);
     if (team == node_.settings.teams.end()) return "unknown team";
     std::set<std::string> zones;  // with machines that fit
     for (const auto& [name, t] : *node_.catalog) {
-        if (!j.allows_type(name) || !j.need.fits_in(t.size)) continue;
+        if (!j.allows_type(name) || !j.resources.fits_in(t.size)) continue;
         for (const auto& z : t.zones) {
             if (!j.zone || *j.zone == z) zones.insert(z);
         }
@@ -42,14 +42,14 @@
     const bool one_zone = j.one_zone || zones.size() == 1;
     if (j.kind == core::JobKind::gang && one_zone && j.zone_cap() < j.tasks) return "can not be spread";
     const double k = j.kind == core::JobKind::array ? 1.0 : static_cast<double>(j.tasks);
-    if (j.need.cpus * k > team->second.cpus_max + core::kSlack ||
-        j.need.gpus * k > team->second.gpus_max + core::kSlack) {
+    if (j.resources.cpus * k > team->second.cpus_max + core::kResourceTolerance ||
+        j.resources.gpus * k > team->second.gpus_max + core::kResourceTolerance) {
         return "needs more than the team's limit";
     }
     return std::nullopt;
 }
 
-void UsersApi::drop_unknown_types(core::Job& job) const {
+void UserApi::drop_unknown_types(core::Job& job) const {
     if (!job.types) return;
     std::set<std::string> named;
     std::erase_if(*job.types, [&](const std::string& type) {
@@ -57,7 +57,7 @@
     });
 }
 
-Task<HttpResponse> UsersApi::submit(io::HttpRequest request) {
+Task<HttpResponse> UserApi::submit(io::HttpRequest request) {
     if (request.body_too_large) co_return plain_response(400);
     if (submitting_ >= kMostSubmitting) co_return retry_later(429);
     const RequestCount counted{submitting_};
@@ -77,10 +77,10 @@
     co_return response;
 }
 
-Task<HttpResponse> UsersApi::decide_submission(core::Job job) {
+Task<HttpResponse> UserApi::decide_submission(core::Job job) {
     // What was accepted once is neither refused nor accepted anew, whatever the settings and the catalog say
     // of it by now.
-    const bool known = finals_.known(job.id) != nullptr || node_.ledger.find(job.id) != nullptr;
+    const bool known = final_states_.known(job.id) != nullptr || node_.job_table.find(job.id) != nullptr;
     const std::optional<std::string> why = known || !node_.catalog ? std::nullopt : impossible(job);
     if (known || !node_.catalog || why) {
         HttpResponse refusal = why ? response_with(422, {{"error", *why}}) : retry_later();
@@ -88,58 +88,58 @@
         HttpResponse response = co_await std::move(refusing);
         co_return response;
     }
-    if (!node_.synced || !node_.state.reachable(steady_now())) co_return retry_later();
+    if (!node_.replica_loaded || !node_.state.reachable(steady_now())) co_return retry_later();
     // Types that the cloud does not have add nothing, and a long list would pass the value limit.
     drop_unknown_types(job);
     const Micros deadline = steady_now() + kSubmissionTime;
-    bool cancelled_by_need = false;
-    if (!job.awaits.empty()) {
-        auto settling = waiting_jobs_.settle_needs(job, deadline);
-        const auto needs = co_await std::move(settling);
-        if (needs == WaitingJobs::Needs::undecided) co_return retry_later();
-        if (needs == WaitingJobs::Needs::never_accepted) {
+    bool cancelled_by_dependency = false;
+    if (!job.dependencies.empty()) {
+        auto settling = dependency_admission_.resolve_dependencies(job, deadline);
+        const auto dependencies = co_await std::move(settling);
+        if (dependencies == DependencyAdmission::DependencyStatus::undecided) co_return retry_later();
+        if (dependencies == DependencyAdmission::DependencyStatus::never_accepted) {
             HttpResponse refusal = response_with(422, {{"error", "awaits a job that was never accepted"}});
             auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
             HttpResponse response = co_await std::move(refusing);
             co_return response;
         }
-        cancelled_by_need = needs == WaitingJobs::Needs::cancelled;
+        cancelled_by_dependency = dependencies == DependencyAdmission::DependencyStatus::cancelled;
     }
     job.accepted = io::wall_now();
-    auto accepting = accept(std::move(job), cancelled_by_need, deadline);
+    auto accepting = accept(std::move(job), cancelled_by_dependency, deadline);
     HttpResponse response = co_await std::move(accepting);
     co_return response;
 }
 
-Task<HttpResponse> UsersApi::accept(core::Job job, bool cancelled_by_need, Micros deadline) {
+Task<HttpResponse> UserApi::accept(core::Job job, bool cancelled_by_dependency, Micros deadline) {
     const wire::Json record =
-        cancelled_by_need ? wire::final_record(wire::JobStatus::cancelled, 0) : wire::job_record(job);
+        cancelled_by_dependency ? wire::final_record(wire::JobStatus::cancelled, 0) : wire::job_record(job);
     wire::Transaction transaction;
     transaction.conditions = {{keys::job(job.id), 0}, {keys::final(job.id), 0}};
-    const std::string key = cancelled_by_need ? keys::final(job.id) : keys::job(job.id);
+    const std::string key = cancelled_by_dependency ? keys::final(job.id) : keys::job(job.id);
     transaction.writes.push_back({key, record, 0});
     const CommitPriority priority{true, std::nullopt};
     auto committing = node_.state.commit(std::move(transaction), deadline, priority);
     const CommitResult result = co_await std::move(committing);
-    if (result.outcome == Commit::done && cancelled_by_need) {
-        finals_.note(job.id, {wire::JobStatus::cancelled, 0});
+    if (result.outcome == CommitOutcome::committed && cancelled_by_dependency) {
+        final_states_.note(job.id, {wire::JobStatus::cancelled, 0});
         co_return response_with(201, wire::job_answer(job.id, wire::JobStatus::cancelled));
     }
-    if (result.outcome == Commit::done) {
+    if (result.outcome == CommitOutcome::committed) {
         replica_.committed({key, record, result.revision});
-        node_.work.notify_all();
-        node_.fleet_work.notify_all();
+        node_.scheduling_needed.notify_all();
+        node_.scaling_needed.notify_all();
         co_return response_with(201, wire::job_answer(job.id, wire::JobStatus::queued));
     }
     // Whether an unanswered commit was carried out, the user's next try will find out.
-    if (result.outcome != Commit::conflict) co_return retry_later();
+    if (result.outcome != CommitOutcome::conflict) co_return retry_later();
     auto describing = describe_known(job.id, result.revision, deadline);
     HttpResponse response = co_await std::move(describing);
     co_return response;
 }
 
-Task<HttpResponse> UsersApi::describe_known(std::string id, core::Stamp revision, Micros deadline) {
-    auto reaching = replica_.reach(revision, deadline);
+Task<HttpResponse> UserApi::describe_known(std::string id, core::Revision revision, Micros deadline) {
+    auto reaching = replica_.wait_for_revision(revision, deadline);
     const bool reached = co_await std::move(reaching);
     if (!reached) co_return retry_later();
     HttpResponse answer;
@@ -148,11 +148,11 @@
     if (described == Lookup::found) co_return answer;
     if (described == Lookup::failed) co_return retry_later();
     FinalState final_state;
-    core::Stamp read_at = 0;
-    auto reading = finals_.find(id, final_state, read_at, deadline);
+    core::Revision read_at = 0;
+    auto reading = final_states_.find(id, final_state, read_at, deadline);
     const Lookup found = co_await std::move(reading);
     if (found != Lookup::found) co_return retry_later();
     co_return response_with(200, wire::job_answer(id, final_state.status, final_state.done, 0));
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/user_responses.hpp
+++ b/src/api/user_responses.hpp
@@ -4,7 +4,7 @@
 #include "io/http.hpp"
 #include "wire/cbor.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 inline io::HttpResponse plain_response(int status) {
     io::HttpResponse response;
@@ -37,4 +37,4 @@
     std::size_t& count_;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/mesh.cpp
+++ b/src/cluster/peer_mesh.cpp
@@ -1,4 +1,4 @@
-#include "service/mesh.hpp"
+#include "cluster/peer_mesh.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -9,7 +9,7 @@
 
 #include "core/fair_share.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -21,7 +21,7 @@
 // Of each peer: the one in use, and some that a cut has left half open.
 constexpr std::size_t kInboundPerPeer = 4;
 constexpr std::size_t kLeastInbound = 16;
-// The first heartbeat of a connection has all of them to tell, and a frame has a limit (kMeshFrameBytes).
+// The first heartbeat of a connection has all of them to tell, and a frame has a limit (kMaxFrameBytes).
 constexpr std::size_t kReleasedPerHeartbeat = 8192;
 constexpr Micros kHeartbeatInterval{500'000};
 constexpr Micros kSilence{4'000'000};
@@ -34,31 +34,33 @@
 constexpr double kEvenShare = 0.1;
 }  // namespace
 
-Mesh::Mesh(Node& n, Membership& m) : node_(n), membership_(m), listener_(n.loop, n.settings.mesh) {
+PeerMesh::PeerMesh(Node& n, Membership& m) : node_(n), membership_(m), listener_(n.loop, n.settings.mesh) {
     for (const auto& p : n.settings.peers) links_[p.label] = std::make_unique<Link>(n.loop, p);
     node_.forward = [this](const core::MachineView& v, Micros heard, bool whole) {
         forward(v, heard, whole);
     };
-    node_.announce_hold = [this](const wire::MeshHold& h) {
+    node_.announce_reservation = [this](const wire::CapacityReservationNotice& h) {
         for (auto& [label, link] : links_) push(*link, h);
     };
-    node_.announce_cancel = [this](const wire::MeshCancel& cancel) {
+    node_.announce_cancellation = [this](const wire::CancellationBroadcast& cancel) {
         for (auto& [label, link] : links_) push(*link, cancel);
     };
-    membership_.ask_all = [this](const wire::MeshAsk& ask) {
+    membership_.broadcast_lease_extension_request = [this](const wire::LeaseExtensionRequest& ask) {
         for (auto& [label, link] : links_) push(*link, ask);
     };
 }
 
-void Mesh::start(io::Scope& scope) {
+void PeerMesh::start(io::Scope& scope) {
     scope.spawn(serve());
     scope.spawn(heartbeat());
     for (auto& [label, link] : links_) scope.spawn(talk(*link));
 }
 
-bool Mesh::push(Link& link, const wire::MeshMessage& m) const { return push(link, wire::encode_frame(m)); }
+bool PeerMesh::push(Link& link, const wire::PeerMessage& m) const {
+    return push(link, wire::encode_frame(m));
+}
 
-bool Mesh::push(Link& link, const std::string& frame) const {
+bool PeerMesh::push(Link& link, const std::string& frame) const {
     if (!link.connected) return false;
     if (link.out.size() > static_cast<std::size_t>(node_.settings.memory_mb * 1024 * 1024) / kQueueParts) {
         // A peer that does not read: what it misses, the full cluster view makes good as soon as it has read
@@ -71,38 +73,39 @@
     return true;
 }
 
-wire::MeshReport Mesh::describe(const core::MachineView& v, Micros heard) {
-    wire::MeshReport m;
-    m.report = v.last;
+wire::WorkerStatusUpdate PeerMesh::describe(const core::MachineView& v, Micros heard) {
+    wire::WorkerStatusUpdate m;
+    m.heartbeat = v.last_heartbeat;
     m.heard_us = heard.count();
     m.confirmed = v.confirmed;
     return m;
 }
 
-void Mesh::forward(const core::MachineView& v, Micros heard, bool whole) {
+void PeerMesh::forward(const core::MachineView& v, Micros heard, bool whole) {
     std::string frame;
     if (whole) {
         frame = wire::encode_frame(describe(v, heard));
     } else {
-        frame = wire::encode_frame(wire::MeshAlive{v.last.machine, v.last.session, v.last.tick, v.last.token,
-                                                   v.content_tick, heard.count()});
+        frame = wire::encode_frame(wire::WorkerKeepAlive{
+            v.last_heartbeat.machine, v.last_heartbeat.incarnation, v.last_heartbeat.heartbeat_sequence,
+            v.last_heartbeat.fencing_token, v.content_sequence, heard.count()});
     }
     for (auto& [label, link] : links_) push(*link, frame);
 }
 
-void Mesh::fill(Link& link) const {
+void PeerMesh::fill(Link& link) const {
     // What is known of images goes along, and the next heartbeat has the whole tables.
     link.missed = false;
     link.answered_until = Micros{0};
     link.released_told = 0;
     for (const auto& [id, view] : node_.cluster_view.machines()) {
-        wire::MeshReport m = describe(view, view.heard);
+        wire::WorkerStatusUpdate m = describe(view, view.heard);
         for (const auto& [image, i] : view.images) m.images.emplace_back(image, i.gb);
         link.out += wire::encode_frame(m);
     }
 }
 
-Task<void> Mesh::talk(Link& link) {
+Task<void> PeerMesh::talk(Link& link) {
     while (true) {
         auto task = io::connect(node_.loop, link.peer.address, steady_now() + Micros{2'000'000});
         auto socket = co_await std::move(task);
@@ -110,7 +113,7 @@
             co_await node_.loop.sleep(Micros{400'000});
             continue;
         }
-        link.out = wire::encode_frame(wire::MeshHello{wire::kMeshVersion, node_.self.label});
+        link.out = wire::encode_frame(wire::PeerHandshake{wire::kPeerProtocolVersion, node_.self.label});
         link.connected = true;
         link.confirmed = steady_now();
         fill(link);
@@ -125,7 +128,7 @@
             // never fails. Only the peer's word that it hears us shows that it does: without tables from
             // every member no lease ever counts as over, and what was lost stays lost.
             if (steady_now() - link.confirmed > kUnconfirmed) {
-                spdlog::info("event=mesh_unconfirmed peer={}", link.peer.label);
+                spdlog::info("event=peer_unconfirmed peer={}", link.peer.label);
                 break;
             }
         }
@@ -135,7 +138,7 @@
     }
 }
 
-Task<void> Mesh::serve() {
+Task<void> PeerMesh::serve() {
     while (true) {
         io::Socket socket = co_await listener_.accept();
         if (inbound_open_ >= std::max(kLeastInbound, kInboundPerPeer * links_.size())) continue;  // closes it
@@ -144,7 +147,7 @@
     }
 }
 
-Task<void> Mesh::listen(io::Socket socket) {
+Task<void> PeerMesh::listen(io::Socket socket) {
     struct Count {
         std::size_t& n;
         ~Count() { --n; }
@@ -158,10 +161,10 @@
         frames.add(std::string_view(buffer.data(), *n));
         while (auto m = frames.next()) {
             if (from.empty()) {
-                const auto* hello = std::get_if<wire::MeshHello>(&*m);
-                if (hello == nullptr || hello->version != wire::kMeshVersion ||
+                const auto* hello = std::get_if<wire::PeerHandshake>(&*m);
+                if (hello == nullptr || hello->version != wire::kPeerProtocolVersion ||
                     !links_.contains(hello->label)) {
-                    spdlog::warn("event=mesh_stranger");
+                    spdlog::warn("event=peer_rejected");
                     co_return;
                 }
                 from = hello->label;
@@ -170,23 +173,23 @@
             handle(from, *m);
         }
         if (frames.broken()) {
-            spdlog::warn("event=malformed_frame from={} count={}", from, ++malformed_);
+            spdlog::warn("event=malformed_peer_frame from={} count={}", from, ++malformed_);
             co_return;
         }
     }
 }
 
-void Mesh::take_heartbeat(const std::string& from, wire::MeshHeartbeat& heartbeat) {
+void PeerMesh::handle_peer_heartbeat(const std::string& from, wire::PeerHeartbeat& heartbeat) {
     auto& p = node_.peers[from];
     // A held connection may deliver old tables after newer ones.
     if (heartbeat.wall_us < p.heartbeat.wall_us) return;
     for (const auto& [machine, at] : heartbeat.answered) {
         if (node_.cluster_view.released(machine)) continue;
-        auto& any = node_.answered_any[machine];
+        auto& any = node_.lease_renewals_known[machine];
         any = std::max(any, Micros{at});
         node_.cluster_view.heard(machine, Micros{at});
     }
-    for (const auto& r : heartbeat.released) node_.note_released(r);
+    for (const auto& r : heartbeat.released) node_.record_released(r);
     if (from == node_.epoch.leader)
         node_.candidates = {heartbeat.candidates.begin(), heartbeat.candidates.end()};
     for (const auto& h : heartbeat.hears) {
@@ -194,60 +197,62 @@
     }
     // What does not answer somebody else may not answer anyone: this node asks for itself.
     for (const auto& machine : heartbeat.unanswered) {
-        if (node_.cluster_view.find(machine) != nullptr) node_.suspects.try_emplace(machine);
+        if (node_.cluster_view.find(machine) != nullptr) node_.probes.try_emplace(machine);
     }
-    node_.take_cancels(heartbeat.cancels);
+    node_.apply_cancellations(heartbeat.cancellations);
     p.heartbeat = std::move(heartbeat);
     p.heartbeat.answered.clear();
     p.heartbeat.released.clear();
-    p.heartbeat.cancels.clear();
+    p.heartbeat.cancellations.clear();
     p.received = steady_now();
     share_writes();
 }
 
-void Mesh::take_ask(const std::string& from, const wire::MeshAsk& ask) {
-    wire::MeshPromise answer{ask.number, membership_.may_promise(), {}};
+void PeerMesh::handle_lease_extension_request(const std::string& from,
+                                              const wire::LeaseExtensionRequest& ask) {
+    wire::LeaseExtensionVote answer{ask.number, membership_.may_vote_for_extension(), {}};
     if (answer.given) {
-        answer.cancels = node_.cancels_after(ask.revision);
-        membership_.promised_to(from, steady_now() + Micros{static_cast<std::int64_t>(ask.life_us)});
+        answer.cancellations = node_.cancellations_after(ask.revision);
+        membership_.record_vote_given(from, steady_now() + Micros{static_cast<std::int64_t>(ask.life_us)});
     }
     push(*links_.at(from), answer);
 }
 
-void Mesh::take_hold(const wire::MeshHold& hold) {
-    if (node_.foreign_holds.size() > std::max<std::size_t>(512, node_.cluster_view.machines().size())) return;
+void PeerMesh::handle_reservation(const wire::CapacityReservationNotice& hold) {
+    if (node_.peer_reservations.size() > std::max<std::size_t>(512, node_.cluster_view.machines().size()))
+        return;
     const Micros until =
         steady_now() + std::min(Micros{static_cast<std::int64_t>(hold.for_us)}, Micros{10'000'000});
-    node_.foreign_holds[{hold.job, hold.task}] = {
+    node_.peer_reservations[{hold.job, hold.task}] = {
         hold.machine, {hold.cpus, hold.gpus, hold.memory_gb}, until, hold.waiting};
 }
 
-void Mesh::handle(const std::string& from, wire::MeshMessage& m) {
-    if (auto* heartbeat = std::get_if<wire::MeshHeartbeat>(&m)) {
-        take_heartbeat(from, *heartbeat);
-    } else if (auto* report = std::get_if<wire::MeshReport>(&m)) {
-        node_.take_forward(std::move(*report));
-    } else if (const auto* alive = std::get_if<wire::MeshAlive>(&m)) {
-        node_.take_alive(*alive);
-    } else if (const auto* ask = std::get_if<wire::MeshAsk>(&m)) {
-        take_ask(from, *ask);
-    } else if (const auto* promise = std::get_if<wire::MeshPromise>(&m)) {
-        membership_.promise_received(from, *promise);
-    } else if (const auto* cancel = std::get_if<wire::MeshCancel>(&m)) {
-        node_.take_cancels(cancel->cancels);
-    } else if (const auto* hold = std::get_if<wire::MeshHold>(&m)) {
-        take_hold(*hold);
+void PeerMesh::handle(const std::string& from, wire::PeerMessage& m) {
+    if (auto* heartbeat = std::get_if<wire::PeerHeartbeat>(&m)) {
+        handle_peer_heartbeat(from, *heartbeat);
+    } else if (auto* heartbeat = std::get_if<wire::WorkerStatusUpdate>(&m)) {
+        node_.apply_peer_status(std::move(*heartbeat));
+    } else if (const auto* alive = std::get_if<wire::WorkerKeepAlive>(&m)) {
+        node_.apply_peer_keep_alive(*alive);
+    } else if (const auto* ask = std::get_if<wire::LeaseExtensionRequest>(&m)) {
+        handle_lease_extension_request(from, *ask);
+    } else if (const auto* promise = std::get_if<wire::LeaseExtensionVote>(&m)) {
+        membership_.handle_lease_extension_vote(from, *promise);
+    } else if (const auto* cancel = std::get_if<wire::CancellationBroadcast>(&m)) {
+        node_.apply_cancellations(cancel->cancellations);
+    } else if (const auto* hold = std::get_if<wire::CapacityReservationNotice>(&m)) {
+        handle_reservation(*hold);
     }
 }
 
-wire::MeshHeartbeat Mesh::common_heartbeat() {
-    wire::MeshHeartbeat b;
+wire::PeerHeartbeat PeerMesh::common_heartbeat() {
+    wire::PeerHeartbeat b;
     b.label = node_.self.label;
-    b.grant = node_.self.grant;
+    b.store_lease = node_.self.store_lease;
     b.epoch = node_.epoch.number;
     b.state_ok = node_.state.reachable(steady_now());
-    b.fit = node_.fit;
-    b.acting = node_.acting();
+    b.healthy = node_.healthy;
+    b.holds_leadership = node_.holds_leadership();
     b.revision = node_.revision;
     b.capabilities = core::kCapabilities;
     b.wall_us = io::wall_now().count();
@@ -255,24 +260,25 @@
         if (node_.peer_fresh(label, steady_now())) b.hears.push_back(label);
     }
     b.demand = static_cast<std::uint64_t>(node_.state.demand() * kDemandUnitsPerWrite);
-    b.workers = node_.workers_here();
-    for (const auto& [machine, suspect] : node_.suspects) {
-        if (suspect.since.count() != 0 && steady_now() - suspect.since > Micros{3'000'000} && node_.fit) {
+    b.workers = node_.assigned_worker_count();
+    for (const auto& [machine, suspect] : node_.probes) {
+        if (suspect.since.count() != 0 && steady_now() - suspect.since > Micros{3'000'000} && node_.healthy) {
             b.unanswered.push_back(machine);
         }
     }
-    if (node_.leads()) b.candidates.assign(node_.candidates.begin(), node_.candidates.end());
+    if (node_.is_cluster_leader()) b.candidates.assign(node_.candidates.begin(), node_.candidates.end());
     return b;
 }
 
-void Mesh::tell(Link& link, wire::MeshHeartbeat& b, const std::vector<wire::CancelNotice>& cancels) {
+void PeerMesh::tell(Link& link, wire::PeerHeartbeat& b,
+                    const std::vector<wire::CancellationNotice>& cancellations) {
     // Repeated until the peer's replica has them: a notice may be lost with its connection.
-    b.cancels.clear();
-    const core::Stamp peer_revision = node_.peers[link.peer.label].heartbeat.revision;
-    std::copy_if(cancels.begin(), cancels.end(), std::back_inserter(b.cancels),
-                 [&](const wire::CancelNotice& notice) { return notice.revision > peer_revision; });
+    b.cancellations.clear();
+    const core::Revision peer_revision = node_.peers[link.peer.label].heartbeat.revision;
+    std::copy_if(cancellations.begin(), cancellations.end(), std::back_inserter(b.cancellations),
+                 [&](const wire::CancellationNotice& notice) { return notice.revision > peer_revision; });
     b.answered.clear();
-    for (const auto& [machine, at] : node_.answered_here) {
+    for (const auto& [machine, at] : node_.lease_renewals_local) {
         if (at >= link.answered_until) b.answered.emplace_back(machine, at.count());
     }
     auto news = node_.cluster_view.released_machines().since(link.released_told, kReleasedPerHeartbeat);
@@ -284,55 +290,55 @@
     link.released_told = news.position;
 }
 
-Task<void> Mesh::heartbeat() {
+Task<void> PeerMesh::heartbeat() {
     while (true) {
         co_await node_.loop.sleep(kHeartbeatInterval);
-        wire::MeshHeartbeat heartbeat = common_heartbeat();
+        wire::PeerHeartbeat heartbeat = common_heartbeat();
         share_writes();
-        const auto cancels = node_.cancels_after(0);
+        const auto cancellations = node_.cancellations_after(0);
         for (auto& [label, link] : links_) {
-            if (link->connected) tell(*link, heartbeat, cancels);
+            if (link->connected) tell(*link, heartbeat, cancellations);
         }
     }
 }
 
-bool Mesh::everyone_shares_fairly() const {
+bool PeerMesh::everyone_shares_fairly() const {
     const auto& members = node_.epoch.members;
     return std::all_of(members.begin(), members.end(), [&](const core::Member& member) {
         if (member.label == node_.self.label) return true;
         const auto peer = node_.peers.find(member.label);
-        return peer != node_.peers.end() && peer->second.heartbeat.grant == member.grant &&
+        return peer != node_.peers.end() && peer->second.heartbeat.store_lease == member.store_lease &&
                (peer->second.heartbeat.capabilities & core::kSharesWritesFairly) != 0;
     });
 }
 
-std::vector<double> Mesh::write_demands() const {
+std::vector<double> PeerMesh::write_demands() const {
     std::vector<double> demands{node_.state.demand()};
     for (const auto& member : node_.epoch.members) {
         if (member.label == node_.self.label || !node_.peer_fresh(member.label, steady_now())) continue;
-        const wire::MeshHeartbeat& heartbeat = node_.peers.at(member.label).heartbeat;
+        const wire::PeerHeartbeat& heartbeat = node_.peers.at(member.label).heartbeat;
         demands.push_back(static_cast<double>(heartbeat.demand) / kDemandUnitsPerWrite);
     }
     return demands;
 }
 
-// The state service's write limit goes to those that have something to write: with fewer teams than nodes,
+// The store's write limit goes to those that have something to write: with fewer teams than nodes,
 // equal parts leave most of it unused. In proportion to what each wants, though, a node whose tasks end by
 // the dozen left others so little that each pass of theirs waited two seconds for its writes.
-void Mesh::share_writes() {
+void PeerMesh::share_writes() {
     std::vector<double> demands = write_demands();
-    const std::size_t nodes = std::max<std::size_t>(node_.epoch.members.size(), 1);
+    const std::size_t member_records = std::max<std::size_t>(node_.epoch.members.size(), 1);
     if (everyone_shares_fairly()) {
         for (double& demand : demands) demand = demand * kDemandHeadroom + kIdleWrites;
         const double capacity = node_.state.write_capacity();
-        node_.state.share(nodes, core::max_min_share(demands, 0, capacity) / capacity);
+        node_.state.share(member_records, core::max_min_share(demands, 0, capacity) / capacity);
         return;
     }
     // As the earlier version does, so that the parts of all add up to the limit.
     for (double& demand : demands) demand += kLeastDemand;
     const double sum = std::accumulate(demands.begin(), demands.end(), 0.0);
-    const double even = kEvenShare / static_cast<double>(nodes);
-    node_.state.share(nodes, even + (1 - kEvenShare) * demands.front() / sum);
+    const double even = kEvenShare / static_cast<double>(member_records);
+    node_.state.share(member_records, even + (1 - kEvenShare) * demands.front() / sum);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/mesh.hpp
+++ b/src/cluster/peer_mesh.hpp
@@ -7,14 +7,14 @@
 #include <string>
 #include <vector>
 
-#include "service/membership.hpp"
-#include "service/node.hpp"
+#include "cluster/membership.hpp"
+#include "cluster/node.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class Mesh {
+class PeerMesh {
   public:
-    Mesh(Node& n, Membership& m);
+    PeerMesh(Node& n, Membership& m);
     io::Task<void> serve();
     io::Task<void> heartbeat();
     void start(io::Scope& scope);
@@ -34,24 +34,24 @@
     };
     io::Task<void> talk(Link& link);
     io::Task<void> listen(io::Socket socket);
-    void handle(const std::string& from, wire::MeshMessage& m);
-    void take_heartbeat(const std::string& from, wire::MeshHeartbeat& heartbeat);
-    void take_ask(const std::string& from, const wire::MeshAsk& ask);
-    void take_hold(const wire::MeshHold& hold);
+    void handle(const std::string& from, wire::PeerMessage& m);
+    void handle_peer_heartbeat(const std::string& from, wire::PeerHeartbeat& heartbeat);
+    void handle_lease_extension_request(const std::string& from, const wire::LeaseExtensionRequest& ask);
+    void handle_reservation(const wire::CapacityReservationNotice& hold);
     // What a heartbeat says to all peers alike.
-    wire::MeshHeartbeat common_heartbeat();
+    wire::PeerHeartbeat common_heartbeat();
     // Adds what this peer has not been told yet, and sends it.
-    void tell(Link& link, wire::MeshHeartbeat& b, const std::vector<wire::CancelNotice>& cancels);
+    void tell(Link& link, wire::PeerHeartbeat& b, const std::vector<wire::CancellationNotice>& cancellations);
     // False when the queue of the link is full, or no connection.
-    bool push(Link& link, const wire::MeshMessage& m) const;
+    bool push(Link& link, const wire::PeerMessage& m) const;
     bool push(Link& link, const std::string& frame) const;
     void fill(Link& link) const;
-    // Sets this node's part of the state service's writes.
+    // Sets this node's part of the store's writes.
     void share_writes();
     bool everyone_shares_fairly() const;
     // Writes a second that the members want, this node's first.
     std::vector<double> write_demands() const;
-    static wire::MeshReport describe(const core::MachineView& v, io::Micros heard);
+    static wire::WorkerStatusUpdate describe(const core::MachineView& v, io::Micros heard);
 
     Node& node_;
     Membership& membership_;
@@ -62,4 +62,4 @@
     std::uint64_t malformed_ = 0;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "service/settings.hpp"
+#include "config/settings.hpp"
 
 #include <charconv>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 namespace {
 
@@ -246,9 +246,9 @@
     // Silence that long means more than one lost report and one change of node (4 s and 1 s on the workers'
     // side).
     t.silent_release = core::Micros{static_cast<std::int64_t>((s.report_s * 2 + 8) * 1e6)};
-    seconds("mandate.grant_seconds", 0.5, 60, t.grant_life);
-    seconds("mandate.renew_seconds", 0.1, 30, t.renew_every);
-    seconds("mandate.promise_seconds", 0.5, 30, t.promise_life);
+    seconds("mandate.grant_seconds", 0.5, 60, t.store_lease_ttl);
+    seconds("mandate.renew_seconds", 0.1, 30, t.store_lease_renewal_interval);
+    seconds("mandate.promise_seconds", 0.5, 30, t.lease_extension_ttl);
     seconds("placement.gap_seconds", 0.001, 5, t.pass_gap);
     seconds("state.watch_gap_seconds", 0, 5, t.watch_gap);
     seconds("fleet.silent_release_seconds", 2, 3600, t.silent_release);
@@ -268,9 +268,9 @@
     take("drain.total_share", 0, 1, [&](double v) { t.drain_share = v; });
     take("drain.busy_share", 0, 1, [&](double v) { t.drain_busy_share = v; });
     if (!left.empty()) fail(left.begin()->first, "an unknown key", "a key that docs/operations.md lists");
-    if (t.renew_every * 2 > t.grant_life)
+    if (t.store_lease_renewal_interval * 2 > t.store_lease_ttl)
         fail("mandate.renew_seconds", "too long", "at most half of mandate.grant_seconds");
     return t;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/settings.hpp
+++ b/src/config/settings.hpp
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "core/drain_planner.hpp"
-#include "core/fleet_planner.hpp"
 #include "core/model.hpp"
+#include "core/scale_out_planner.hpp"
 #include "io/socket.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 // One line: the field, what was found, what is allowed.
 struct SettingsError : std::runtime_error {
@@ -38,7 +38,7 @@
     std::vector<std::string> zones;
     std::vector<core::Objective> objectives;
     double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
-    // The state service's limits: of those that hold now and those announced for some later moment
+    // The store's limits: of those that hold now and those announced for some later moment
     // (`state.next`), the smaller ones. The later ones come into force without notice.
     double state_rps = 0, state_write_rps = 0, value_kb = 0;
     // The most that one value may take in JSON form.
@@ -56,16 +56,16 @@
 
 // Operators' properties. Every key has a default; an unknown key is an error.
 struct Tunables {
-    core::Micros grant_life{2'500'000};
-    core::Micros renew_every{600'000};
-    core::Micros promise_life{1'500'000};
+    core::Micros store_lease_ttl{2'500'000};
+    core::Micros store_lease_renewal_interval{600'000};
+    core::Micros lease_extension_ttl{1'500'000};
     core::Micros pass_gap{25'000};
     core::Micros watch_gap{100'000};
     core::Micros silent_release{0};  // 0: from the workers' settings
     core::DrainSettings drain;
     core::Micros drain_loop{5'000'000};
     core::Micros drain_bound{50'000};
-    core::FleetSettings fleet;
+    core::ScaleOutSettings fleet;
     // Parts of the fleet; the counts in the planners' settings are the least.
     double drain_share = 0.15;
     double drain_busy_share = 0.04;
@@ -78,4 +78,4 @@
 
 std::string read_file(const std::string& path);
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/service.cpp
+++ b/src/controller/controller.cpp
@@ -1,6 +1,6 @@
-#include "service/service.hpp"
+#include "controller/controller.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::HttpRequest;
 using io::HttpResponse;
@@ -23,40 +23,40 @@
 }
 }  // namespace
 
-Service::Service(io::Loop& loop, Settings s, Tunables t)
+Controller::Controller(io::Loop& loop, Settings s, Tunables t)
     : node_(loop, std::move(s), t),
       replica_(node_),
       membership_(node_, replica_),
-      mesh_(node_, membership_),
+      peer_mesh_(node_, membership_),
       workers_(node_, scope_),
-      finals_(node_, replica_),
-      users_(node_, replica_, finals_),
-      dependencies_(node_, replica_, finals_),
-      owner_(node_, replica_, workers_),
-      leader_(node_, replica_),
-      cancel_enforcement_(node_, workers_, leader_),
+      final_states_(node_, replica_),
+      user_api_(node_, replica_, final_states_),
+      dependency_reconciler_(node_, replica_, final_states_),
+      shard_scheduler_(node_, replica_, workers_),
+      scaling_(node_, replica_),
+      cancellation_enforcer_(node_, workers_, scaling_),
       server_(loop, node_.settings.api, limits(node_.settings),
               [this](HttpRequest r) { return handle(std::move(r)); }) {}
 
-void Service::start() {
+void Controller::start() {
     scope_.spawn(server_.serve());
     scope_.spawn(replica_.run());
-    scope_.spawn(membership_.keep_grant());
+    scope_.spawn(membership_.keep_store_lease());
     scope_.spawn(membership_.keep_epoch());
-    mesh_.start(scope_);
-    scope_.spawn(workers_.watch_reach());
-    scope_.spawn(workers_.keep_reach());
-    scope_.spawn(owner_.run());
-    scope_.spawn(leader_.keep_catalog());
-    scope_.spawn(leader_.keep_list());
-    scope_.spawn(leader_.rent());
-    scope_.spawn(leader_.drain());
-    scope_.spawn(leader_.give_back());
-    scope_.spawn(cancel_enforcement_.run());
-    scope_.spawn(dependencies_.run());
+    peer_mesh_.start(scope_);
+    scope_.spawn(workers_.monitor_worker_connectivity());
+    scope_.spawn(workers_.probe_unconfirmed_workers());
+    scope_.spawn(shard_scheduler_.run());
+    scope_.spawn(scaling_.keep_catalog());
+    scope_.spawn(scaling_.keep_list());
+    scope_.spawn(scaling_.scale_out());
+    scope_.spawn(scaling_.drain());
+    scope_.spawn(scaling_.scale_in());
+    scope_.spawn(cancellation_enforcer_.run());
+    scope_.spawn(dependency_reconciler_.run());
 }
 
-Task<HttpResponse> Service::handle(HttpRequest request) {
+Task<HttpResponse> Controller::handle(HttpRequest request) {
     constexpr std::string_view jobs = "/api/jobs";
     constexpr std::string_view cancel = "/cancel";
     const std::string target = request.target.substr(0, request.target.find('?'));
@@ -64,14 +64,14 @@
     if (target == "/hello") {
         if (method != "POST") co_return status(405);
         if (request.body_too_large) co_return status(400);
-        auto task = workers_.hello(std::move(request.body));
+        auto task = workers_.handle_heartbeat(std::move(request.body));
         HttpResponse r = co_await std::move(task);
         co_return r;
     }
-    if (target == "/healthz") co_return method == "GET" ? users_.health() : status(405);
+    if (target == "/healthz") co_return method == "GET" ? user_api_.health() : status(405);
     if (target == jobs) {
         if (method != "POST") co_return status(405);
-        auto task = users_.submit(std::move(request));
+        auto task = user_api_.submit(std::move(request));
         HttpResponse r = co_await std::move(task);
         co_return r;
     }
@@ -80,15 +80,15 @@
     if (id.ends_with(cancel)) {
         id.resize(id.size() - cancel.size());
         if (method != "POST") co_return status(405);
-        auto task = users_.cancel(std::move(id));
+        auto task = user_api_.cancel(std::move(id));
         HttpResponse r = co_await std::move(task);
         co_return r;
     }
     if (id.find('/') != std::string::npos) co_return status(404);
     if (method != "GET") co_return status(405);
-    auto task = users_.poll(std::move(id));
+    auto task = user_api_.poll(std::move(id));
     HttpResponse r = co_await std::move(task);
     co_return r;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/core/capacity_holds.cpp
+++ b/src/core/capacity_reservation.cpp
@@ -1,4 +1,4 @@
-#include "core/capacity_holds.hpp"
+#include "core/capacity_reservation.hpp"
 
 #include <algorithm>
 #include <map>
@@ -19,7 +19,7 @@
     for (std::size_t i = 0; i < machines.size(); ++i) {
         const MachineCapacity& machine = machines[i];
         if (!machine.usable || machine.draining || !may_run_on(job, machine)) continue;
-        if (job.need.fits_in(machine.type->size)) order.push_back(i);
+        if (job.resources.fits_in(machine.type->size)) order.push_back(i);
     }
     std::sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
         return std::tuple{-machines[left].free.cpus, left} < std::tuple{-machines[right].free.cpus, right};
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-void hold_capacity(PlacementTrial& trial, const JobEntry& entry, std::uint32_t tasks) {
+void reserve_capacity(PlacementTrial& trial, const JobEntry& entry, std::uint32_t tasks) {
     const FreeCapacity& capacity = trial.capacity();
     std::vector<std::size_t> order = machines_by_free_cpus(capacity, entry.job);
     if (entry.job.one_zone) keep_emptiest_zone(capacity, order);
@@ -55,7 +55,7 @@
             ++next;
             continue;
         }
-        const Reservation hold{machine.id, entry.job.need, until, true};
+        const Reservation hold{machine.id, entry.job.resources, until, true};
         trial.result().reservations[{entry.job.id, task}] = hold;
         trial.hold(hold);
         ++task;
--- a/src/core/capacity_holds.hpp
+++ b/src/core/capacity_reservation.hpp
@@ -7,6 +7,6 @@
 
 // Holds machines for the job's first `tasks` tasks, where most is free: nobody else takes that, so it grows
 // until a task fits.
-void hold_capacity(PlacementTrial& trial, const JobEntry& entry, std::uint32_t tasks);
+void reserve_capacity(PlacementTrial& trial, const JobEntry& entry, std::uint32_t tasks);
 
 }  // namespace hatchwind::core
--- a/src/core/dependency_graph.cpp
+++ b/src/core/dependency_graph.cpp
@@ -18,10 +18,11 @@
 
 class DependencyPass {
   public:
-    DependencyPass(const Ledger& ledger, const EndingOf& ending) : ledger_(ledger), ending_(ending) {
-        for (const auto& id : ledger.waiting()) {
+    DependencyPass(const JobTable& job_table, const TerminalStateLookup& ending)
+        : job_table_(job_table), ending_(ending) {
+        for (const auto& id : job_table.waiting()) {
             index_.emplace(id, jobs_.size());
-            jobs_.push_back({&ledger.find(id)->job});
+            jobs_.push_back({&job_table.find(id)->job});
         }
     }
 
@@ -37,8 +38,9 @@
             } else if (waiting.open_needs == 0) {
                 plan.release.push_back(waiting.job->id);
             } else {
-                for (const auto need : waiting.unknown) {
-                    if (unknown.insert(need).second) plan.unknown_endings.emplace_back(need);
+                for (const auto resources : waiting.unknown) {
+                    if (unknown.insert(resources).second)
+                        plan.unknown_terminal_states.emplace_back(resources);
                 }
             }
         }
@@ -52,29 +54,29 @@
             mark_cancelled(i);
             return;
         }
-        if (!waiting.job->needs_known()) waiting.open_needs = 1;
-        for (const auto& need : waiting.job->awaits) look_at_need(i, need);
+        if (!waiting.job->dependencies_known()) waiting.open_needs = 1;
+        for (const auto& resources : waiting.job->dependencies) look_at_need(i, resources);
     }
 
-    void look_at_need(std::size_t i, const std::string& need) {
+    void look_at_need(std::size_t i, const std::string& resources) {
         WaitingJob& waiting = jobs_[i];
-        if (const auto other = index_.find(need); other != index_.end()) {
+        if (const auto other = index_.find(resources); other != index_.end()) {
             ++waiting.open_needs;
             jobs_[other->second].dependents.push_back(i);
             return;
         }
-        if (const JobEntry* unfinished = ledger_.find(need)) {
+        if (const JobEntry* unfinished = job_table_.find(resources)) {
             ++waiting.open_needs;
             if (unfinished->job.cancelled) mark_cancelled(i);
             return;
         }
-        const auto ended = ending_(need);
-        if (ended == Ending::done) return;
+        const auto ended = ending_(resources);
+        if (ended == TerminalState::done) return;
         ++waiting.open_needs;
         if (ended) {
             mark_cancelled(i);
         } else {
-            waiting.unknown.emplace_back(need);
+            waiting.unknown.emplace_back(resources);
         }
     }
 
@@ -92,8 +94,8 @@
         }
     }
 
-    const Ledger& ledger_;
-    const EndingOf& ending_;
+    const JobTable& job_table_;
+    const TerminalStateLookup& ending_;
     std::vector<WaitingJob> jobs_;
     std::unordered_map<std::string_view, std::size_t> index_;
     std::vector<std::size_t> cancelled_;  // whose dependents are to be marked
@@ -101,13 +103,14 @@
 
 }  // namespace
 
-DependencyPlan plan_dependencies(const Ledger& ledger, const EndingOf& ending,
+DependencyPlan plan_dependencies(const JobTable& job_table, const TerminalStateLookup& ending,
                                  const std::function<bool(const Job&)>& mine) {
-    if (ledger.waiting().empty()) return {};
-    return DependencyPass{ledger, ending}.run(mine);
+    if (job_table.waiting().empty()) return {};
+    return DependencyPass{job_table, ending}.run(mine);
 }
 
-Ancestry look_back(const Ledger& ledger, const std::vector<std::string>& jobs, const EndingOf& ending) {
+Ancestry look_back(const JobTable& job_table, const std::vector<std::string>& jobs,
+                   const TerminalStateLookup& ending) {
     Ancestry ancestry;
     std::unordered_set<std::string_view> seen(jobs.begin(), jobs.end());
     std::vector<const std::string*> to_visit;
@@ -116,24 +119,24 @@
     while (!to_visit.empty()) {
         const std::string& id = *to_visit.back();
         to_visit.pop_back();
-        if (const JobEntry* entry = ledger.find(id)) {
+        if (const JobEntry* entry = job_table.find(id)) {
             if (entry->job.cancelled) {
                 ancestry.cancelled = true;
                 return ancestry;
             }
             if (!entry->job.waiting()) continue;
-            if (!entry->job.needs_known()) ancestry.complete = false;
-            for (const auto& need : entry->job.awaits) {
-                if (seen.insert(need).second) to_visit.push_back(&need);
+            if (!entry->job.dependencies_known()) ancestry.complete = false;
+            for (const auto& resources : entry->job.dependencies) {
+                if (seen.insert(resources).second) to_visit.push_back(&resources);
             }
             continue;
         }
         const auto ended = ending(id);
-        if (ended == Ending::cancelled) {
+        if (ended == TerminalState::cancelled) {
             ancestry.cancelled = true;
             return ancestry;
         }
-        if (!ended) ancestry.unknown_endings.push_back(id);
+        if (!ended) ancestry.unknown_terminal_states.push_back(id);
     }
     return ancestry;
 }
--- a/src/core/dependency_graph.hpp
+++ b/src/core/dependency_graph.hpp
@@ -8,32 +8,33 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 
 namespace hatchwind::core {
 
 // How a job ended for good.
-enum class Ending : std::uint8_t { done, cancelled };
-// The ending of a job that is not in the ledger; nothing when it is not known here. That a job is missing
-// from the ledger never means that it is done.
-using EndingOf = std::function<std::optional<Ending>(const std::string& job)>;
+enum class TerminalState : std::uint8_t { done, cancelled };
+// The ending of a job that is not in the job table; nothing when it is not known here. That a job is missing
+// from the job table never means that it is done.
+using TerminalStateLookup = std::function<std::optional<TerminalState>(const std::string& job)>;
 
 struct DependencyPlan {
-    std::vector<std::string> release;          // all that they need is done
-    std::vector<std::string> cancel;           // cancelled, or in need of a cancelled job, directly or not
-    std::vector<std::string> unknown_endings;  // that may decide about others; without repeats
+    std::vector<std::string> release;  // all that they need is done
+    std::vector<std::string> cancel;   // cancelled, or in need of a cancelled job, directly or not
+    std::vector<std::string> unknown_terminal_states;  // that may decide about others; without repeats
 };
 
 // What is due for the waiting jobs that `mine` selects.
-DependencyPlan plan_dependencies(const Ledger& ledger, const EndingOf& ending,
+DependencyPlan plan_dependencies(const JobTable& job_table, const TerminalStateLookup& ending,
                                  const std::function<bool(const Job&)>& mine);
 
 // What some jobs, and those that they need, directly or through others, say about a job that needs them all.
 struct Ancestry {
-    bool cancelled = false;                    // one of them is: so is the job, whatever else is not known
-    bool complete = true;                      // false: the needs of one of them are not known here
-    std::vector<std::string> unknown_endings;  // without repeats
+    bool cancelled = false;  // one of them is: so is the job, whatever else is not known
+    bool complete = true;    // false: the needs of one of them are not known here
+    std::vector<std::string> unknown_terminal_states;  // without repeats
 };
-Ancestry look_back(const Ledger& ledger, const std::vector<std::string>& jobs, const EndingOf& ending);
+Ancestry look_back(const JobTable& job_table, const std::vector<std::string>& jobs,
+                   const TerminalStateLookup& ending);
 
 }  // namespace hatchwind::core
--- a/src/core/drain_planner.cpp
+++ b/src/core/drain_planner.cpp
@@ -23,8 +23,8 @@
         : in_(in), capacity_(capacity), state_(state) {}
 
     // Finds a home for one task. Remembered destinations first, then from the list's far end.
-    bool fit(const JobEntry& e, const TaskRef& ref, const std::string& from,
-             const std::set<std::string>& skip) {
+    bool healthy(const JobEntry& e, const TaskRef& ref, const std::string& from,
+                 const std::set<std::string>& skip) {
         if (const auto hint = state_.destinations.find(ref); hint != state_.destinations.end()) {
             const auto at = capacity_.at(hint->second);
             if (at != FreeCapacity::npos && fits(e, at, from, skip)) return take(e, ref, at);
@@ -96,7 +96,7 @@
     }
     bool take(const JobEntry& e, const TaskRef& ref, std::size_t at) {
         const MachineCapacity& m = capacity_.machines()[at];
-        capacity_.take(at, e.job.need);
+        capacity_.take(at, e.job.resources);
         if (e.job.spread || e.job.one_zone) {
             zone_use(e).add(m.zone);
             moves_.push_back({&e, m.zone, true});
@@ -131,27 +131,27 @@
     const auto hold = [&] {
         state.candidate_since.clear();
         state.destinations = std::move(trial.destinations);
-        out.held = true;
+        out.recorded_attempts = true;
         return out;
     };
 
     // What is being drained, and what was stopped and has no new place yet, must fit first.
     for (const auto& id : in.draining) {
         const MachineCapacity* from = capacity.find(id);
-        for (const auto& [ref, held] : in.ledger->on_machine(id)) {
-            const JobEntry* e = held.entry;
+        for (const auto& [ref, recorded_attempts] : in.job_table->on_machine(id)) {
+            const JobEntry* e = recorded_attempts.entry;
             if (from != nullptr) trial.leave(*e, from->zone);
             (void)trial.stop(*e);
-            if (!trial.fit(*e, ref, id, {})) return hold();
+            if (!trial.healthy(*e, ref, id, {})) return hold();
         }
     }
     for (const auto& [ref, when] : state.recent_stops) {
-        const JobEntry* e = in.ledger->find(ref.job);
-        if (e == nullptr || e->job.cancelled || in.ledger->open_attempt(ref.job, ref.task) != nullptr)
+        const JobEntry* e = in.job_table->find(ref.job);
+        if (e == nullptr || e->job.cancelled || in.job_table->open_attempt(ref.job, ref.task) != nullptr)
             continue;
         const auto c = e->chunks.find(ref.task / kChunkTasks);
         if (c != e->chunks.end() && c->second.done.contains(ref.task)) continue;
-        if (!trial.fit(*e, ref, "", {})) return hold();
+        if (!trial.healthy(*e, ref, "", {})) return hold();
     }
 
     // Least used first: empty machines cost nothing to give back. Among equals the dearest, since caps and
@@ -160,7 +160,7 @@
     for (const auto& m : capacity.machines()) {
         if (m.view == nullptr || m.draining || in.protected_machines.contains(m.id)) continue;
         // A machine that takes nothing new may still be returned; a silent one is another duty's business.
-        if (!m.usable && !m.view->notice_until && in.ledger->on_machine(m.id).empty()) continue;
+        if (!m.usable && !m.view->notice_until && in.job_table->on_machine(m.id).empty()) continue;
         if (m.use() < s.use_threshold)
             eligible.emplace_back(std::round(m.use() * 10), -m.price() / std::max(m.type->size.cpus, 1.0),
                                   m.id);
@@ -175,15 +175,15 @@
         const auto mark = trial.mark();
         // A machine that takes tasks in this very trial is needed.
         bool ok = !trial.takes_tasks(id);
-        for (const auto& [ref, held] : in.ledger->on_machine(id)) {
+        for (const auto& [ref, recorded_attempts] : in.job_table->on_machine(id)) {
             if (!ok) break;
-            const JobEntry* e = held.entry;
+            const JobEntry* e = recorded_attempts.entry;
             if (e->job.kind == JobKind::gang || !trial.stop(*e)) {
                 ok = false;
                 break;
             }
             trial.leave(*e, from->zone);
-            ok = trial.fit(*e, ref, id, candidates);
+            ok = trial.healthy(*e, ref, id, candidates);
         }
         if (ok) {
             candidates.insert(id);
@@ -203,7 +203,7 @@
     // Empty ones first; busy drains under their own cap.
     std::size_t under_way = in.draining.size();
     std::size_t busy = 0;
-    for (const auto& id : in.draining) busy += in.ledger->on_machine(id).empty() ? 0 : 1;
+    for (const auto& id : in.draining) busy += in.job_table->on_machine(id).empty() ? 0 : 1;
     std::vector<std::string> ripe;
     for (const auto& [id, when] : state.candidate_since) {
         if (in.now - when >= s.unneeded) ripe.push_back(id);
@@ -213,13 +213,13 @@
     });
     for (const auto& id : ripe) {
         if (under_way >= s.total_cap) break;
-        if (!in.ledger->on_machine(id).empty()) continue;
+        if (!in.job_table->on_machine(id).empty()) continue;
         out.empty.push_back(id);
         ++under_way;
     }
     for (const auto& id : ripe) {
         if (under_way >= s.total_cap || busy >= s.busy_cap) break;
-        if (in.ledger->on_machine(id).empty()) continue;
+        if (in.job_table->on_machine(id).empty()) continue;
         out.busy.push_back(id);
         ++under_way;
         ++busy;
--- a/src/core/drain_planner.hpp
+++ b/src/core/drain_planner.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "core/free_capacity.hpp"
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 
 namespace hatchwind::core {
 
@@ -29,7 +29,7 @@
 };
 
 struct DrainInput {
-    const Ledger* ledger = nullptr;
+    const JobTable* job_table = nullptr;
     const ClusterView* cluster_view = nullptr;
     std::set<std::string> draining;
     std::set<std::string> protected_machines;  // never candidates: gangs, or needed as they are
@@ -40,7 +40,7 @@
 struct DrainResult {
     std::vector<std::string> empty;  // to be given back at once
     std::vector<std::string> busy;   // to be drained, then given back
-    bool held = false;               // stopped tasks would not all fit: no candidates in this round
+    bool recorded_attempts = false;  // stopped tasks would not all fit: no candidates in this round
 };
 
 DrainResult plan_drains(const DrainSettings& s, const DrainInput& in, FreeCapacity capacity,
--- a/src/core/epoch.cpp
+++ b/src/core/epoch.cpp
@@ -4,7 +4,7 @@
 
 namespace hatchwind::core {
 
-std::map<std::string, std::string> assign_owners(const std::vector<Team>& teams,
+std::map<std::string, std::string> assign_shards(const std::vector<Team>& teams,
                                                  const std::vector<std::string>& members,
                                                  const std::string& leader,
                                                  const std::map<std::string, std::string>& before) {
@@ -51,72 +51,75 @@
 
 std::optional<EpochPlan> plan_epoch(const EpochInput& in) {
     const auto alive = [&](const Member& m) {
-        const auto it = in.nodes.find(m.label);
-        return it != in.nodes.end() && it->second.grant == m.grant;
+        const auto it = in.member_records.find(m.label);
+        return it != in.member_records.end() && it->second.store_lease == m.store_lease;
     };
     if (!alive(in.self)) return std::nullopt;
     const Member* leader = in.current.member(in.current.leader);
-    const bool leads = leader != nullptr && *leader == in.self;
-    if (leader != nullptr && !leads && alive(*leader)) return std::nullopt;
+    const bool is_cluster_leader = leader != nullptr && *leader == in.self;
+    if (leader != nullptr && !is_cluster_leader && alive(*leader)) return std::nullopt;
 
     EpochPlan plan;
     plan.next.number = in.current.number + 1;
     plan.next.removed_at = in.current.removed_at;
-    plan.next.stamp = in.current.stamp;
-    plan.next.later_fields = in.current.later_fields;
+    plan.next.mod_revision = in.current.mod_revision;
+    plan.next.unknown_fields = in.current.unknown_fields;
     bool removes = false;
     for (const auto& m : in.current.members) {
         if (alive(m)) continue;
-        if (in.promised.contains(m.label) || in.bound) return std::nullopt;
+        if (in.protected_members.contains(m.label) || in.bound_by_earlier_votes) return std::nullopt;
         removes = true;
-        const auto it = in.nodes.find(m.label);
-        plan.node_conditions.emplace_back(m.label, it == in.nodes.end() ? 0 : it->second.stamp);
+        const auto it = in.member_records.find(m.label);
+        plan.member_conditions.emplace_back(m.label,
+                                            it == in.member_records.end() ? 0 : it->second.mod_revision);
     }
-    if (removes) plan.next.removed_at = in.wall;
-    plan.node_conditions.emplace_back(in.self.label, in.nodes.at(in.self.label).stamp);
+    if (removes) plan.next.removed_at = in.wall_clock_now;
+    plan.member_conditions.emplace_back(in.self.label, in.member_records.at(in.self.label).mod_revision);
 
-    std::vector<std::string> fit;
-    for (const auto& [label, record] : in.nodes) {
-        plan.next.members.push_back({label, record.grant});
-        if (!in.unfit.contains(label)) fit.push_back(label);
+    std::vector<std::string> healthy;
+    for (const auto& [label, record] : in.member_records) {
+        plan.next.members.push_back({label, record.store_lease});
+        if (!in.unhealthy.contains(label)) healthy.push_back(label);
     }
-    if (fit.empty()) {
-        for (const auto& m : plan.next.members) fit.push_back(m.label);
+    if (healthy.empty()) {
+        for (const auto& m : plan.next.members) healthy.push_back(m.label);
     }
     plan.next.leader = in.self.label;
     // A leader that cannot do its part hands over.
-    if (std::find(fit.begin(), fit.end(), in.self.label) == fit.end()) plan.next.leader = fit.front();
-    plan.next.owners = assign_owners(in.teams, fit, plan.next.leader, in.current.owners);
+    if (std::find(healthy.begin(), healthy.end(), in.self.label) == healthy.end())
+        plan.next.leader = healthy.front();
+    plan.next.shard_owners = assign_shards(in.teams, healthy, plan.next.leader, in.current.shard_owners);
     const bool same = in.current.number != 0 && plan.next.members == in.current.members &&
-                      plan.next.owners == in.current.owners && plan.next.leader == in.current.leader;
+                      plan.next.shard_owners == in.current.shard_owners &&
+                      plan.next.leader == in.current.leader;
     if (same) return std::nullopt;
     return plan;
 }
 
-Micros NodeLease::shortened(Micros from, Micros life) {
+Micros LeadershipLease::shortened(Micros from, Micros life) {
     // Clocks drift apart by up to 0.05%; 0.2% and a margin for timers that fire late.
     return from + life - life / 500 - Micros{50'000};
 }
 
-void NodeLease::renewed(Micros sent, Micros life) {
+void LeadershipLease::renewed(Micros sent, Micros life) {
     until_ = std::max(until_, shortened(sent, life));
-    promises_.clear();
+    extension_votes_.clear();
 }
 
-void NodeLease::promise(const std::string& from, Micros asked, Micros life, Micros now) {
+void LeadershipLease::record_vote(const std::string& from, Micros asked, Micros life, Micros now) {
     if (!alive(now)) return;
-    auto& p = promises_[from];
+    auto& p = extension_votes_[from];
     p = std::max(p, shortened(asked, life));
-    // Fold a full set into the node lease, so that it goes on from there.
+    // Fold a full set into the leadership lease, so that it goes on from there.
     Micros all = Micros::max();
     for (const auto& o : others_) {
-        const auto it = promises_.find(o);
-        if (it == promises_.end()) return;
+        const auto it = extension_votes_.find(o);
+        if (it == extension_votes_.end()) return;
         all = std::min(all, it->second);
     }
     if (!others_.empty()) until_ = std::max(until_, all);
 }
 
-Micros NodeLease::until() const { return until_; }
+Micros LeadershipLease::until() const { return until_; }
 
 }  // namespace hatchwind::core
--- a/src/core/free_capacity.cpp
+++ b/src/core/free_capacity.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 // Recorded attempts use capacity unless the worker says that they have ended.
-Amount used_on(const MachineView& view, const HeldTasks& held) {
-    Amount sum;
-    for (const auto& [ref, h] : held) {
-        const auto v = view_attempt(view, ref.job, ref.task, h.number, h.session);
-        if (v.fate != Fate::exited && v.fate != Fate::gone) sum += h.entry->job.need;
+Resources used_on(const MachineView& view, const RecordedAttempts& recorded_attempts) {
+    Resources sum;
+    for (const auto& [ref, h] : recorded_attempts) {
+        const auto v = view_attempt(view, ref.job, ref.task, h.number, h.incarnation);
+        if (v.status != AttemptStatus::exited && v.status != AttemptStatus::gone)
+            sum += h.entry->job.resources;
     }
     return sum;
 }
@@ -18,7 +19,7 @@
 
 // Not split yet: walks fleet, records and cache in step.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity)
-FreeCapacity FreeCapacity::build(const ClusterView& p, const Ledger& l, const Catalog& c,
+FreeCapacity FreeCapacity::build(const ClusterView& p, const JobTable& l, const Catalog& c,
                                  const Availability& a, FreeCapacityCache* memory) {
     FreeCapacity capacity;
     if (memory != nullptr) capacity.machines_ = std::move(memory->spare_machines);
@@ -34,33 +35,35 @@
         known = memory->uses.begin();
     }
     for (const auto& [id, view] : p.machines()) {
-        const auto type = c.find(view.last.type);
+        const auto type = c.find(view.last_heartbeat.type);
         if (type == c.end()) continue;
         MachineCapacity m;
         m.id = id;
         m.type = &type->second;
         m.view = &view;
-        m.zone = view.last.zone;
-        m.spot = view.last.spot;
-        m.session = view.last.session;
+        m.zone = view.last_heartbeat.zone;
+        m.spot = view.last_heartbeat.spot;
+        m.incarnation = view.last_heartbeat.incarnation;
         m.free = type->second.size;
         m.usable = view.confirmed && !view.notice_until && a.now - view.changed < a.silent_after &&
                    view.heard >= a.heard_since;
         while (recorded != l.by_machine().end() && recorded->first < id) ++recorded;
         if (recorded != l.by_machine().end() && recorded->first == id) {
-            m.held = &recorded->second.tasks;
+            m.recorded_attempts = &recorded->second.tasks;
             const FreeCapacityCache::Use* same = nullptr;
             if (memory != nullptr) {
                 while (known != memory->uses.end() && known->machine < id) ++known;
                 if (known != memory->uses.end() && known->machine == id &&
-                    known->session == view.last.session && known->content_tick == view.content_tick &&
+                    known->incarnation == view.last_heartbeat.incarnation &&
+                    known->content_sequence == view.content_sequence &&
                     known->version == recorded->second.version)
                     same = &*known;
             }
-            const Amount used = same != nullptr ? same->amount : used_on(view, *m.held);
+            const Resources used = same != nullptr ? same->amount : used_on(view, *m.recorded_attempts);
             m.free -= used;
             if (memory != nullptr) {
-                uses.push_back({id, view.last.session, view.content_tick, recorded->second.version, used});
+                uses.push_back({id, view.last_heartbeat.incarnation, view.content_sequence,
+                                recorded->second.version, used});
             }
         }
         capacity.machines_.push_back(std::move(m));
@@ -115,12 +118,12 @@
     return machines_.size() - 1;
 }
 
-void FreeCapacity::take(std::size_t at, const Amount& need) {
-    machines_[at].free -= need;
-    trail_.emplace_back(at, need);
+void FreeCapacity::take(std::size_t at, const Resources& resources) {
+    machines_[at].free -= resources;
+    trail_.emplace_back(at, resources);
 }
 
-void FreeCapacity::give(std::size_t at, const Amount& need) { take(at, need * -1.0); }
+void FreeCapacity::give(std::size_t at, const Resources& resources) { take(at, resources * -1.0); }
 
 void FreeCapacity::revert(std::size_t to) {
     while (trail_.size() > to) {
--- a/src/core/free_capacity.hpp
+++ b/src/core/free_capacity.hpp
@@ -1,4 +1,4 @@
-// FreeCapacity on the machines as this node sees it: the copy in which placements are tried, kept or taken
+// FreeCapacity on the machines as this node sees it: the replica in which placements are tried, kept or taken
 // back.
 #pragma once
 
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "core/cluster_view.hpp"
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 #include "core/model.hpp"
 
 namespace hatchwind::core {
@@ -24,16 +24,16 @@
     bool usable = true;      // takes new tasks at all
     bool draining = false;   // never a destination
     bool candidate = false;  // a destination of last resort
-    Amount free;
-    std::uint64_t session = 0;
-    const HeldTasks* held = nullptr;  // recorded on it; null when there are none
+    Resources free;
+    std::uint64_t incarnation = 0;
+    const RecordedAttempts* recorded_attempts = nullptr;  // recorded on it; null when there are none
 
     double use() const { return type->size.cpus <= 0 ? 0 : 1 - free.cpus / type->size.cpus; }
     double price() const { return spot ? type->spot_price : type->price; }
     bool has_image(const std::string& image) const { return view != nullptr && view->images.contains(image); }
 };
 
-// What makes a machine unfit to take tasks now; filled in by whoever builds the capacity.
+// What makes a machine unhealthy to take tasks now; filled in by whoever builds the capacity.
 struct Availability {
     Micros now{};           // steady
     Micros silent_after{};  // a machine without news for this long takes nothing new
@@ -49,10 +49,10 @@
 struct FreeCapacityCache {
     struct Use {
         std::string machine;
-        std::uint64_t session = 0;
-        std::uint64_t content_tick = 0;
-        std::uint64_t version = 0;  // of the ledger's record
-        Amount amount;
+        std::uint64_t incarnation = 0;
+        std::uint64_t content_sequence = 0;
+        std::uint64_t version = 0;  // of the job table's record
+        Resources amount;
     };
     std::vector<Use> uses;  // in the machines' order
     // Memory for the next one: large blocks that come and go with every pass make the allocator tidy up.
@@ -62,8 +62,8 @@
 
 class FreeCapacity {
   public:
-    static FreeCapacity build(const ClusterView& p, const Ledger& l, const Catalog& c, const Availability& a,
-                              FreeCapacityCache* memory = nullptr);
+    static FreeCapacity build(const ClusterView& p, const JobTable& l, const Catalog& c,
+                              const Availability& a, FreeCapacityCache* memory = nullptr);
 
     std::vector<MachineCapacity>& machines() { return machines_; }
     const std::vector<MachineCapacity>& machines() const { return machines_; }
@@ -75,8 +75,8 @@
     // Leaves its memory to the next one; it is empty afterwards.
     void recycle(FreeCapacityCache& memory);
 
-    void take(std::size_t at, const Amount& need);
-    void give(std::size_t at, const Amount& need);
+    void take(std::size_t at, const Resources& resources);
+    void give(std::size_t at, const Resources& resources);
     // Trials nest by position: revert(mark()) takes back all that came after.
     std::size_t mark() const { return trail_.size(); }
     void revert(std::size_t to);
@@ -84,7 +84,7 @@
   private:
     std::vector<MachineCapacity> machines_;
     std::size_t sorted_ = 0;  // so many at the front are in order of their names
-    std::vector<std::pair<std::size_t, Amount>> trail_;
+    std::vector<std::pair<std::size_t, Resources>> trail_;
 };
 
 // Where the tasks of one job are, for its zone rules. Tasks on machines that this node does not know
@@ -110,14 +110,14 @@
 bool may_run_on(const Job& j, const MachineCapacity& m);
 // Takes one more task of it now, its zone rules apart.
 inline bool has_capacity_for(const Job& j, const MachineCapacity& m) {
-    return m.usable && !m.draining && j.need.fits_in(m.free) && may_run_on(j, m);
+    return m.usable && !m.draining && j.resources.fits_in(m.free) && may_run_on(j, m);
 }
 
 // What decides where a job's tasks may go, the zones of its other tasks apart.
 using Shape = std::tuple<double, double, double, bool, std::optional<std::string>,
                          std::optional<std::vector<std::string>>>;
 inline Shape shape(const Job& j) {
-    return {j.need.cpus, j.need.gpus, j.need.memory_gb, j.spot, j.zone, j.types};
+    return {j.resources.cpus, j.resources.gpus, j.resources.memory_gb, j.spot, j.zone, j.types};
 }
 
 }  // namespace hatchwind::core
--- a/src/core/gang_placement.cpp
+++ b/src/core/gang_placement.cpp
@@ -80,7 +80,8 @@
         for (const auto& [task, attempt] : chunk.open) {
             number = attempt.number;
             const auto view = view_attempt(*trial_.input().cluster_view, entry.job.id, task, attempt);
-            const bool not_ended = view.fate == Fate::live || view.fate == Fate::unlisted;
+            const bool not_ended =
+                view.status == AttemptStatus::live || view.status == AttemptStatus::unlisted;
             const bool not_begun = view.state == TaskState::fetching || view.state == TaskState::waiting;
             if (!not_ended || !not_begun) return std::nullopt;
         }
--- a/src/core/ledger.cpp
+++ b/src/core/job_table.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
     return n;
 }
 
-void Ledger::drop(const TaskRef& ref, const std::string& machine) {
+void JobTable::drop(const TaskRef& ref, const std::string& machine) {
     const auto it = by_machine_.find(machine);
     if (it == by_machine_.end()) return;
     it->second.tasks.erase(ref);
@@ -18,7 +18,7 @@
     if (it->second.tasks.empty()) by_machine_.erase(it);
 }
 
-void Ledger::account(const JobEntry& e, const Chunk& before, const Chunk& after) {
+void JobTable::account(const JobEntry& e, const Chunk& before, const Chunk& after) {
     auto b = before.open.begin();
     auto a = after.open.begin();
     while (b != before.open.end() || a != after.open.end()) {
@@ -33,29 +33,29 @@
             ++b;
         } else {
             MachineTasks& m = by_machine_[a->second.machine];
-            m.tasks[{e.job.id, a->first}] = {&e, a->second.number, a->second.session};
+            m.tasks[{e.job.id, a->first}] = {&e, a->second.number, a->second.incarnation};
             m.version = ++changes_;
             ++a;
         }
     }
     use_[e.job.team] +=
-        e.job.need * (static_cast<double>(after.open.size()) - static_cast<double>(before.open.size()));
+        e.job.resources * (static_cast<double>(after.open.size()) - static_cast<double>(before.open.size()));
 }
 
-void Ledger::put_job(Job job, Stamp stamp) {
+void JobTable::put_job(Job job, Revision mod_revision) {
     auto [it, fresh] = jobs_.try_emplace(job.id);
     JobEntry& e = it->second;
-    if (!fresh && e.stamp >= stamp) return;
+    if (!fresh && e.mod_revision >= mod_revision) return;
     if (!fresh && e.job.team != job.team && e.open > 0) {
         // A page of a released job may have been read before the record of its release: what it holds counts
         // for the team that the job has now (Ledger.AReleaseThatIsReadLateMovesTheUseToTheTeam).
-        const Amount use = e.job.need * static_cast<double>(e.open);
+        const Resources use = e.job.resources * static_cast<double>(e.open);
         use_[e.job.team] -= use;
         use_[job.team] += use;
     }
     e.job = std::move(job);
-    e.stamp = stamp;
-    join_await_parts(e.job);
+    e.mod_revision = mod_revision;
+    join_dependency_parts(e.job);
     if (e.job.waiting()) {
         waiting_.insert(e.job.id);
     } else {
@@ -72,24 +72,24 @@
     }
 }
 
-void Ledger::put_cancel(const std::string& job, Stamp revision, Micros cancelled_at) {
+void JobTable::put_cancel(const std::string& job, Revision revision, Micros cancelled_at) {
     const auto it = jobs_.find(job);
-    if (it == jobs_.end() || it->second.stamp >= revision) return;
+    if (it == jobs_.end() || it->second.mod_revision >= revision) return;
     it->second.job.cancelled = true;
     it->second.job.cancelled_at = cancelled_at;
-    it->second.stamp = revision;
+    it->second.mod_revision = revision;
 }
 
-void Ledger::put_chunk(const std::string& job, std::uint32_t index, Chunk chunk) {
+void JobTable::put_chunk(const std::string& job, std::uint32_t index, Chunk chunk) {
     const auto it = jobs_.find(job);
     if (it == jobs_.end()) {
         Chunk& kept = orphans_[{job, index}];
-        if (kept.stamp < chunk.stamp) kept = std::move(chunk);
+        if (kept.mod_revision < chunk.mod_revision) kept = std::move(chunk);
         return;
     }
     JobEntry& e = it->second;
     Chunk& mine = e.chunks[index];
-    if (mine.stamp >= chunk.stamp) return;
+    if (mine.mod_revision >= chunk.mod_revision) return;
     account(e, mine, chunk);
     e.open =
         e.open - static_cast<std::uint32_t>(mine.open.size()) + static_cast<std::uint32_t>(chunk.open.size());
@@ -99,94 +99,96 @@
 
 // The chunks are moved out of the map, which the check does not see.
 // NOLINTNEXTLINE(performance-unnecessary-value-param)
-void Ledger::put_page(const AttemptPageKey& key, Stamp stamp, std::map<ChunkKey, Chunk> chunks) {
+void JobTable::put_page(const AttemptPageKey& key, Revision mod_revision, std::map<ChunkKey, Chunk> chunks) {
     AttemptPage& page = pages_[key];
-    if (page.stamp >= stamp) return;
+    if (page.mod_revision >= mod_revision) return;
     for (const auto& [job, index] : page.chunks) {
-        if (!chunks.contains({job, index})) erase_chunk(job, index, stamp);
+        if (!chunks.contains({job, index})) erase_chunk(job, index, mod_revision);
     }
-    page.stamp = stamp;
+    page.mod_revision = mod_revision;
     page.chunks.clear();
     for (auto& [chunk, c] : chunks) {
         page.chunks.insert(chunk);
-        c.stamp = stamp;
+        c.mod_revision = mod_revision;
         c.page = key.second;
         put_chunk(chunk.first, chunk.second, std::move(c));
     }
 }
 
-void Ledger::erase_page(const AttemptPageKey& key, Stamp at) {
+void JobTable::erase_page(const AttemptPageKey& key, Revision at) {
     const auto it = pages_.find(key);
-    if (it == pages_.end() || it->second.stamp >= at) return;
+    if (it == pages_.end() || it->second.mod_revision >= at) return;
     for (const auto& [job, index] : it->second.chunks) erase_chunk(job, index, at);
     pages_.erase(it);
 }
 
-void Ledger::erase_job(const std::string& job, Stamp at) {
+void JobTable::erase_job(const std::string& job, Revision at) {
     const auto it = jobs_.find(job);
-    if (it == jobs_.end() || it->second.stamp >= at) return;
+    if (it == jobs_.end() || it->second.mod_revision >= at) return;
     for (auto& [index, c] : it->second.chunks) {
         account(it->second, c, {});
-        if (c.stamp != 0) orphans_[{job, index}] = std::move(c);
+        if (c.mod_revision != 0) orphans_[{job, index}] = std::move(c);
     }
     waiting_.erase(job);
     jobs_.erase(it);
 }
 
-void Ledger::erase_chunk(const std::string& job, std::uint32_t index, Stamp at) {
-    if (const auto o = orphans_.find({job, index}); o != orphans_.end() && o->second.stamp < at)
+void JobTable::erase_chunk(const std::string& job, std::uint32_t index, Revision at) {
+    if (const auto o = orphans_.find({job, index}); o != orphans_.end() && o->second.mod_revision < at)
         orphans_.erase(o);
     const auto it = jobs_.find(job);
     if (it == jobs_.end()) return;
     const auto c = it->second.chunks.find(index);
-    if (c == it->second.chunks.end() || c->second.stamp >= at) return;
+    if (c == it->second.chunks.end() || c->second.mod_revision >= at) return;
     account(it->second, c->second, {});
     it->second.open -= static_cast<std::uint32_t>(c->second.open.size());
     it->second.done -= c->second.done.size();
     it->second.chunks.erase(c);
 }
 
-void Ledger::put_await_part(const std::string& job, const std::string& list, std::uint32_t part,
-                            std::vector<std::string> ids) {
-    await_parts_[job][{list, part}] = std::move(ids);
-    if (const auto it = jobs_.find(job); it != jobs_.end()) join_await_parts(it->second.job);
+void JobTable::put_dependency_part(const std::string& job, const std::string& list, std::uint32_t part,
+                                   std::vector<std::string> ids) {
+    dependency_parts_[job][{list, part}] = std::move(ids);
+    if (const auto it = jobs_.find(job); it != jobs_.end()) join_dependency_parts(it->second.job);
 }
 
-void Ledger::erase_await_part(const std::string& job, const std::string& list, std::uint32_t part) {
-    const auto parts = await_parts_.find(job);
-    if (parts == await_parts_.end()) return;
+void JobTable::erase_dependency_part(const std::string& job, const std::string& list, std::uint32_t part) {
+    const auto parts = dependency_parts_.find(job);
+    if (parts == dependency_parts_.end()) return;
     parts->second.erase({list, part});
-    if (parts->second.empty()) await_parts_.erase(parts);
+    if (parts->second.empty()) dependency_parts_.erase(parts);
 }
 
-void Ledger::join_await_parts(Job& job) const {
-    const auto parts = await_parts_.find(job.id);
-    if (!job.waiting() || job.await_parts == 0 || job.needs_known() || parts == await_parts_.end()) return;
+void JobTable::join_dependency_parts(Job& job) const {
+    const auto parts = dependency_parts_.find(job.id);
+    if (!job.waiting() || job.dependency_parts == 0 || job.dependencies_known() ||
+        parts == dependency_parts_.end())
+        return;
     std::vector<std::string> ids;
-    for (std::uint32_t part = 0; part < job.await_parts; ++part) {
-        const auto known = parts->second.find({job.await_list, part});
+    for (std::uint32_t part = 0; part < job.dependency_parts; ++part) {
+        const auto known = parts->second.find({job.dependency_list, part});
         if (known == parts->second.end()) return;
         ids.insert(ids.end(), known->second.begin(), known->second.end());
     }
-    job.awaits = std::move(ids);
+    job.dependencies = std::move(ids);
 }
 
-void Ledger::clear() {
+void JobTable::clear() {
     jobs_.clear();
     waiting_.clear();
-    await_parts_.clear();
+    dependency_parts_.clear();
     use_.clear();
     by_machine_.clear();
     orphans_.clear();
     pages_.clear();
 }
 
-const JobEntry* Ledger::find(const std::string& job) const {
+const JobEntry* JobTable::find(const std::string& job) const {
     const auto it = jobs_.find(job);
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-const Attempt* Ledger::open_attempt(const std::string& job, std::uint32_t task) const {
+const Attempt* JobTable::open_attempt(const std::string& job, std::uint32_t task) const {
     const JobEntry* e = find(job);
     if (e == nullptr) return nullptr;
     const auto c = e->chunks.find(task / kChunkTasks);
@@ -195,13 +197,13 @@
     return a == c->second.open.end() ? nullptr : &a->second;
 }
 
-Amount Ledger::team_use(const std::string& team) const {
+Resources JobTable::team_use(const std::string& team) const {
     const auto it = use_.find(team);
-    return it == use_.end() ? Amount{} : it->second;
+    return it == use_.end() ? Resources{} : it->second;
 }
 
-const HeldTasks& Ledger::on_machine(const std::string& machine) const {
-    static const HeldTasks none;
+const RecordedAttempts& JobTable::on_machine(const std::string& machine) const {
+    static const RecordedAttempts none;
     const auto it = by_machine_.find(machine);
     return it == by_machine_.end() ? none : it->second.tasks;
 }
--- a/src/core/ledger.hpp
+++ b/src/core/job_table.hpp
@@ -1,4 +1,4 @@
-// The ledger: accepted jobs, attempts written ahead, and what each team uses. It is a copy of the store:
+// The job table: accepted jobs, attempts written ahead, and what each team uses. It is a copy of the store:
 // it changes by what was committed and by nothing else.
 #pragma once
 
@@ -21,12 +21,12 @@
 struct Attempt {
     std::uint64_t number = 0;
     std::string machine;
-    std::uint64_t session = 0;
+    std::uint64_t incarnation = 0;
     friend bool operator==(const Attempt&, const Attempt&) = default;
 };
 
 struct Chunk {
-    Stamp stamp = 0;
+    Revision mod_revision = 0;
     RangeSet done;
     std::map<std::uint32_t, Attempt> open;  // by task number
     std::uint64_t last_attempt = 0;
@@ -37,14 +37,14 @@
 // One record of the store: chunks of many jobs of one team. The store counts writes, not what they say, so
 // what starts and ends at the same time is written together.
 struct AttemptPage {
-    Stamp stamp = 0;
+    Revision mod_revision = 0;
     std::set<ChunkKey> chunks;  // some may be of jobs that are over
 };
 using AttemptPageKey = std::pair<std::string, std::uint32_t>;  // team, number from 1
 
 struct JobEntry {
     Job job;
-    Stamp stamp = 0;
+    Revision mod_revision = 0;
     std::map<std::uint32_t, Chunk> chunks;
     std::uint32_t done = 0;
     std::uint32_t open = 0;
@@ -61,41 +61,41 @@
 };
 
 // A recorded attempt as the machine's side sees it. The entry lives as long as the record.
-struct Held {
+struct RecordedAttempt {
     const JobEntry* entry = nullptr;
     std::uint64_t number = 0;
-    std::uint64_t session = 0;
+    std::uint64_t incarnation = 0;
 };
-using HeldTasks = std::map<TaskRef, Held>;
+using RecordedAttempts = std::map<TaskRef, RecordedAttempt>;
 // Never empty. The version is another one after every change, also when the machine was empty in between.
 struct MachineTasks {
-    HeldTasks tasks;
+    RecordedAttempts tasks;
     std::uint64_t version = 0;
 };
 
-class Ledger {
+class JobTable {
   public:
     using Jobs = std::map<std::string, JobEntry>;
 
-    // Each takes a record as the store has it; older stamps than the known one change nothing.
-    void put_job(Job job, Stamp stamp);
+    // Each takes a record as the store has it; older mod revisions than the known one change nothing.
+    void put_job(Job job, Revision mod_revision);
     // A cancellation that another controller has told ahead of the store's own news. Does nothing for a job
     // that is not known, or known at that revision or a later one.
-    void put_cancel(const std::string& job, Stamp revision, Micros cancelled_at);
+    void put_cancel(const std::string& job, Revision revision, Micros cancelled_at);
     void put_chunk(const std::string& job, std::uint32_t index, Chunk chunk);
     // A page as the store has it: what it does not have any more is gone.
-    void put_page(const AttemptPageKey& key, Stamp stamp, std::map<ChunkKey, Chunk> chunks);
-    void erase_page(const AttemptPageKey& key, Stamp at);
+    void put_page(const AttemptPageKey& key, Revision mod_revision, std::map<ChunkKey, Chunk> chunks);
+    void erase_page(const AttemptPageKey& key, Revision at);
     const std::map<AttemptPageKey, AttemptPage>& pages() const { return pages_; }
-    void erase_job(const std::string& job, Stamp at);
+    void erase_job(const std::string& job, Revision at);
     // Parts of lists that are too long for a waiting job's record; the content of a part never changes.
-    using AwaitParts =
+    using DependencyParts =
         std::map<std::pair<std::string, std::uint32_t>, std::vector<std::string>>;  // list, part
-    void put_await_part(const std::string& job, const std::string& list, std::uint32_t part,
-                        std::vector<std::string> ids);
-    void erase_await_part(const std::string& job, const std::string& list, std::uint32_t part);
-    const std::map<std::string, AwaitParts>& await_parts() const { return await_parts_; }
-    void erase_chunk(const std::string& job, std::uint32_t index, Stamp at);
+    void put_dependency_part(const std::string& job, const std::string& list, std::uint32_t part,
+                             std::vector<std::string> ids);
+    void erase_dependency_part(const std::string& job, const std::string& list, std::uint32_t part);
+    const std::map<std::string, DependencyParts>& dependency_parts() const { return dependency_parts_; }
+    void erase_chunk(const std::string& job, std::uint32_t index, Revision at);
     void clear();
 
     const Jobs& jobs() const { return jobs_; }
@@ -104,8 +104,8 @@
     const JobEntry* find(const std::string& job) const;
     const Attempt* open_attempt(const std::string& job, std::uint32_t task) const;
     // What the team's recorded attempts use that are not known to be gone.
-    Amount team_use(const std::string& team) const;
-    const HeldTasks& on_machine(const std::string& machine) const;
+    Resources team_use(const std::string& team) const;
+    const RecordedAttempts& on_machine(const std::string& machine) const;
     const std::map<std::string, MachineTasks>& by_machine() const { return by_machine_; }
     // Chunks whose job is over: they leave the store with the next write of their page.
     const std::map<ChunkKey, Chunk>& orphans() const { return orphans_; }
@@ -116,11 +116,11 @@
     void account(const JobEntry& e, const Chunk& before, const Chunk& after);
     void drop(const TaskRef& ref, const std::string& machine);
     // Fills in the needs of a waiting job once all parts of its list are known.
-    void join_await_parts(Job& job) const;
+    void join_dependency_parts(Job& job) const;
     Jobs jobs_;
     std::set<std::string> waiting_;
-    std::map<std::string, AwaitParts> await_parts_;
-    std::unordered_map<std::string, Amount> use_;
+    std::map<std::string, DependencyParts> dependency_parts_;
+    std::unordered_map<std::string, Resources> use_;
     std::map<std::string, MachineTasks> by_machine_;  // in the cluster view's order: passes walk both in step
     std::uint64_t changes_ = 0;
     std::map<ChunkKey, Chunk> orphans_;
--- a/src/core/model.hpp
+++ b/src/core/model.hpp
@@ -17,35 +17,35 @@
     constexpr double kMicrosPerSecond = 1e6;
     return Micros{static_cast<std::int64_t>(seconds * kMicrosPerSecond)};
 }
-using Stamp = std::uint64_t;  // a store revision; 0: the key does not exist
+using Revision = std::uint64_t;  // a store revision; 0: the key does not exist
 
-constexpr double kSlack =
+constexpr double kResourceTolerance =
     1e-6;  // amounts are decimal fractions: sums of them are compared with this tolerance
 
 enum class JobKind : std::uint8_t { array, gang, service };
 enum class Priority : std::uint8_t { best_effort, normal, high, production };
 
-struct Amount {
+struct Resources {
     double cpus = 0;
     double gpus = 0;
     double memory_gb = 0;
 
-    Amount& operator+=(const Amount& o) {
+    Resources& operator+=(const Resources& o) {
         cpus += o.cpus;
         gpus += o.gpus;
         memory_gb += o.memory_gb;
         return *this;
     }
-    Amount& operator-=(const Amount& o) {
+    Resources& operator-=(const Resources& o) {
         cpus -= o.cpus;
         gpus -= o.gpus;
         memory_gb -= o.memory_gb;
         return *this;
     }
-    friend Amount operator*(Amount a, double k) { return {a.cpus * k, a.gpus * k, a.memory_gb * k}; }
-    bool fits_in(const Amount& capacity) const {
-        return cpus <= capacity.cpus + kSlack && gpus <= capacity.gpus + kSlack &&
-               memory_gb <= capacity.memory_gb + kSlack;
+    friend Resources operator*(Resources a, double k) { return {a.cpus * k, a.gpus * k, a.memory_gb * k}; }
+    bool fits_in(const Resources& capacity) const {
+        return cpus <= capacity.cpus + kResourceTolerance && gpus <= capacity.gpus + kResourceTolerance &&
+               memory_gb <= capacity.memory_gb + kResourceTolerance;
     }
 };
 
@@ -60,7 +60,7 @@
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
-    Amount need;
+    Resources resources;
     std::string image;
     double image_gb = 0;
     std::optional<std::vector<std::string>> types;
@@ -76,24 +76,24 @@
     Micros accepted{};  // time of day
     // While the job waits: the jobs that have to be done first, without repeats, and the team that it will
     // belong to. Empty for all others; the release rewrites the record.
-    std::vector<std::string> awaits;
+    std::vector<std::string> dependencies;
     std::string team_once_released;
     // Of a list that is too long for the job's own record: how many records beside it hold the list, and the
     // name that they have in common. `awaits` is empty until all of them are known.
-    std::string await_list;
-    std::uint32_t await_parts = 0;
+    std::string dependency_list;
+    std::uint32_t dependency_parts = 0;
 
     bool cancelled = false;
     Micros cancelled_at{};  // time of day
 
     // Fields of the record that this version does not know, as JSON text; empty without any. Kept for the
     // version that wrote them when this one writes the record anew.
-    std::string later_fields;
+    std::string unknown_fields;
 
     bool waiting() const { return team == kWaitingTeam; }
     // A waiting job always needs something: with an empty list its needs are not known here, and it must not
     // be released.
-    bool needs_known() const { return !awaits.empty(); }
+    bool dependencies_known() const { return !dependencies.empty(); }
     std::uint32_t zone_cap() const { return spread ? (tasks + 1) / 2 : tasks; }
     bool allows_type(const std::string& type) const {
         return !types || std::find(types->begin(), types->end(), type) != types->end();
@@ -115,7 +115,7 @@
 
 struct MachineType {
     std::string name;
-    Amount size;
+    Resources size;
     double cache_gb = 0;
     double fetch_gb_per_s = 1;
     double price = 0;
@@ -128,44 +128,44 @@
 enum class TaskState : std::uint8_t { fetching, waiting, running, saving, exited };
 enum class ExitCause : std::uint8_t { none, done, stopped, peers, alone, error, no_room, busy, unknown };
 
-struct TaskReport {
+struct TaskStatus {
     std::string job;
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
     TaskState state = TaskState::fetching;
     ExitCause cause = ExitCause::none;
     bool saved = false;
-    friend bool operator==(const TaskReport&, const TaskReport&) = default;
+    friend bool operator==(const TaskStatus&, const TaskStatus&) = default;
 };
 
-struct WorkerReport {
+struct WorkerHeartbeat {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;
-    std::uint64_t tick = 0;
-    std::uint64_t token = 0;
+    std::uint64_t incarnation = 0;
+    std::uint64_t heartbeat_sequence = 0;
+    std::uint64_t fencing_token = 0;
     std::optional<double> notice_s;
-    std::vector<TaskReport> tasks;
+    std::vector<TaskStatus> tasks;
 };
 
-enum class RentalState : std::uint8_t { booting, running, failed };
+enum class InstanceState : std::uint8_t { booting, running, failed };
 
-struct Rental {
+struct Instance {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    RentalState state = RentalState::booting;
+    InstanceState state = InstanceState::booting;
     double age_s = 0;
 };
 
-enum class OrderKind : std::uint8_t { start, stop, forget };
-struct Order {
-    OrderKind kind = OrderKind::start;
+enum class CommandKind : std::uint8_t { start, stop, acknowledge_exit };
+struct WorkerCommand {
+    CommandKind kind = CommandKind::start;
     std::string job;
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
--- a/src/core/pipeline_schedule.cpp
+++ b/src/core/pipeline_schedule.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "core/aging.hpp"
+#include "core/queue_order.hpp"
 
 namespace hatchwind::core {
 
@@ -21,12 +21,12 @@
     bool needed = false;
 };
 
-// Unfinished jobs that wait or are waited for, and who needs whom. All walks are loops over an order in which
-// every job comes after those that it needs: pipelines may be hundreds of jobs deep.
+// Unfinished jobs that wait or are waited for, and who needs whom. All walks are loops over a command in
+// which every job comes after those that it needs: pipelines may be hundreds of jobs deep.
 class Graph {
   public:
-    Graph(const Ledger& ledger, Micros wall) : ledger_(ledger), wall_(wall) {
-        for (const auto& id : ledger.waiting()) add_waiting(*ledger.find(id));
+    Graph(const JobTable& job_table, Micros wall_clock_now) : job_table_(job_table), wall_(wall_clock_now) {
+        for (const auto& id : job_table.waiting()) add_waiting(*job_table.find(id));
     }
 
     // When each job could be done if all goes well.
@@ -45,7 +45,7 @@
                       [&](std::size_t node) { inherit(nodes_[node], objectives); });
     }
 
-    const std::vector<Node>& nodes() const { return nodes_; }
+    const std::vector<Node>& member_records() const { return nodes_; }
 
   private:
     std::size_t node_of(const JobEntry& entry) {
@@ -61,9 +61,9 @@
 
     void add_waiting(const JobEntry& entry) {
         const std::size_t waiting = node_of(entry);
-        for (const auto& id : entry.job.awaits) {
-            const JobEntry* needed = ledger_.find(id);
-            // What the ledger does not have any more is over.
+        for (const auto& id : entry.job.dependencies) {
+            const JobEntry* needed = job_table_.find(id);
+            // What the job table does not have any more is over.
             if (needed == nullptr || (needed->finished() && !needed->job.cancelled)) continue;
             const std::size_t before = node_of(*needed);
             nodes_[before].needed_by.push_back(waiting);
@@ -99,7 +99,7 @@
         if (demand.due) demand.latest_start = *demand.due - planned_stage_time(job);
     }
 
-    const Ledger& ledger_;
+    const JobTable& job_table_;
     Micros wall_;
     std::vector<Node> nodes_;
     std::unordered_map<const JobEntry*, std::size_t> index_;
@@ -108,18 +108,18 @@
 
 }  // namespace
 
-PipelineSchedule PipelineSchedule::build(const Ledger& ledger, const std::vector<Objective>& objectives,
-                                         Micros wall) {
+PipelineSchedule PipelineSchedule::build(const JobTable& job_table, const std::vector<Objective>& objectives,
+                                         Micros wall_clock_now) {
     PipelineSchedule schedule;
-    Graph graph{ledger, wall};
+    Graph graph{job_table, wall_clock_now};
     graph.walk_forward();
     graph.walk_backward(objectives);
-    for (const auto& node : graph.nodes()) {
+    for (const auto& node : graph.member_records()) {
         if (!node.can_run) continue;
         if (node.needed) schedule.demands_.emplace(node.entry->job.id, node.demand);
         // Without a list its needs are not known here, and nobody can say when it will be released.
         const Job& job = node.entry->job;
-        if (job.waiting() && !job.awaits.empty())
+        if (job.waiting() && !job.dependencies.empty())
             schedule.upcoming_.push_back({node.entry, node.soonest_start});
     }
     return schedule;
--- a/src/core/pipeline_schedule.hpp
+++ b/src/core/pipeline_schedule.hpp
@@ -1,6 +1,6 @@
 // What waiting jobs ask of the jobs before them: the priority that a job inherits from those that need it,
 // and the time by which it should be done so that the last job of its pipeline can still meet its deadline. A
-// pure function of the ledger; time and memory follow the number of waiting jobs and of the jobs that they
+// pure function of the job table; time and memory follow the number of waiting jobs and of the jobs that they
 // name.
 #pragma once
 
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 
 namespace hatchwind::core {
 
@@ -34,7 +34,7 @@
 
 // A waiting job that will be released once those that it needs are done.
 struct UpcomingRelease {
-    const JobEntry* entry = nullptr;  // lives as long as the ledger's record
+    const JobEntry* entry = nullptr;  // lives as long as the job table's record
     Micros soonest{};                 // time of day
 };
 
@@ -43,8 +43,8 @@
     PipelineSchedule() = default;
     // `wall`: time of day. Jobs that are cancelled, or that need one which is, ask for nothing; neither do
     // jobs that wait for each other in a circle, since none of them can ever start.
-    static PipelineSchedule build(const Ledger& ledger, const std::vector<Objective>& objectives,
-                                  Micros wall);
+    static PipelineSchedule build(const JobTable& job_table, const std::vector<Objective>& objectives,
+                                  Micros wall_clock_now);
 
     // Null for a job that no other needs.
     const InheritedDemand* find(const std::string& job) const;
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -3,14 +3,14 @@
 #include <unordered_set>
 #include <utility>
 
-#include "core/aging.hpp"
 #include "core/candidate_search.hpp"
-#include "core/capacity_holds.hpp"
+#include "core/capacity_reservation.hpp"
+#include "core/fair_share_ranking.hpp"
 #include "core/gang_placement.hpp"
 #include "core/placement_trial.hpp"
 #include "core/preemption.hpp"
+#include "core/queue_order.hpp"
 #include "core/task_placement.hpp"
-#include "core/team_claims.hpp"
 
 namespace hatchwind::core {
 
@@ -21,16 +21,16 @@
     PlacementPass(const PlacementInput& input, FreeCapacity& capacity)
         : trial_(input, capacity),
           search_(trial_),
-          claims_(trial_),
-          preemption_(trial_, claims_),
-          tasks_(trial_, search_, claims_, preemption_),
+          ranking_(trial_),
+          preemption_(trial_, ranking_),
+          tasks_(trial_, search_, ranking_, preemption_),
           gangs_(trial_, search_, tasks_) {}
 
     PlacementResult run() {
         const PlacementInput& input = trial_.input();
-        const auto queue =
-            queue_order(*input.ledger, input.own_teams, *input.objectives, input.wall, input.pipelines);
-        begin_overdue(overdue_jobs(queue, input.wall));
+        const auto queue = queue_order(*input.job_table, input.own_teams, *input.objectives,
+                                       input.wall_clock_now, input.pipelines);
+        begin_overdue(overdue_jobs(queue, input.wall_clock_now));
         hold_for_others_overdue();
         place_queue(queue);
         return std::move(trial_.result());
@@ -48,7 +48,7 @@
 
     // Overdue jobs of different owners may try for the same capacity; only others keep away from it.
     void hold_for_others_overdue() {
-        for (const auto& reservation : trial_.input().foreign) {
+        for (const auto& reservation : trial_.input().peer_reservations) {
             if (reservation.waiting) trial_.hold(reservation);
         }
     }
@@ -83,7 +83,7 @@
             // The team's later jobs would take what its limit leaves, for ever. Where its services alone keep
             // this one out, waiting with it serves nobody.
             if (trial_.within_limit_beside_services(entry.job, tasks))
-                trial_.charge_team(entry.job.team, entry.job.need * static_cast<double>(tasks));
+                trial_.charge_team(entry.job.team, entry.job.resources * static_cast<double>(tasks));
             return;
         }
         const auto starts_before = trial_.result().starts.size();
@@ -94,12 +94,12 @@
         }
         if (trial_.result().starts.size() != starts_before) return;
         if (trial_.result().reservations.contains({entry.job.id, 0})) return;
-        hold_capacity(trial_, entry, tasks);
+        reserve_capacity(trial_, entry, tasks);
     }
 
     PlacementTrial trial_;
     CandidateSearch search_;
-    TeamClaims claims_;
+    FairShareRanking ranking_;
     Preemption preemption_;
     TaskPlacement tasks_;
     GangPlacement gangs_;
--- a/src/core/placement.hpp
+++ b/src/core/placement.hpp
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "core/aging.hpp"
 #include "core/free_capacity.hpp"
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 #include "core/pipeline_schedule.hpp"
+#include "core/queue_order.hpp"
 
 namespace hatchwind::core {
 
@@ -31,7 +31,7 @@
 // FreeCapacity that was cleared for one task by stopping others; nobody else may take it until then.
 struct Reservation {
     std::string machine;
-    Amount need;
+    Resources resources;
     Micros until{};
     // Nothing was stopped for it: an overdue job waits for what is set free. Made anew in each pass, the
     // oldest job first; holds that lasted let two jobs keep each other from one machine for ever.
@@ -39,7 +39,7 @@
 };
 
 struct PlacementInput {
-    const Ledger* ledger = nullptr;
+    const JobTable* job_table = nullptr;
     const ClusterView* cluster_view = nullptr;
     const std::map<std::string, Team>* teams = nullptr;
     const std::vector<Objective>* objectives = nullptr;
@@ -47,10 +47,10 @@
     std::set<std::string> own_teams;
     std::map<std::string, Micros> job_backoff;  // steady: until when the job's tasks are not tried
     std::map<TaskRef, Reservation> reservations;
-    std::vector<Reservation> foreign;  // other owners' holds
-    std::set<TaskRef> stopping;        // told to stop to free capacity for another, and not gone yet
-    Micros now{};                      // steady
-    Micros wall{};                     // time of day
+    std::vector<Reservation> peer_reservations;  // other owners' holds
+    std::set<TaskRef> stopping;  // told to stop to free capacity for another, and not gone yet
+    Micros now{};                // steady
+    Micros wall_clock_now{};     // time of day
     std::size_t most_starts = 48;
     std::size_t most_stops = 8;
     std::size_t most_records = 48;  // store records that the starts may touch
--- a/src/core/placement_trial.cpp
+++ b/src/core/placement_trial.cpp
@@ -7,7 +7,7 @@
 PlacementTrial::PlacementTrial(const PlacementInput& input, FreeCapacity& capacity)
     : input_(input), capacity_(capacity) {
     hold_known_reservations();
-    for (const auto& [name, team] : *input.teams) team_use_[name] = input.ledger->team_use(name);
+    for (const auto& [name, team] : *input.teams) team_use_[name] = input.job_table->team_use(name);
     count_free_cpus();
 }
 
@@ -17,7 +17,7 @@
         result_.reservations.emplace(task, reservation);
         hold(reservation);
     }
-    for (const auto& reservation : input_.foreign) {
+    for (const auto& reservation : input_.peer_reservations) {
         if (!reservation.waiting) hold(reservation);
     }
 }
@@ -36,46 +36,47 @@
 
 bool PlacementTrial::within_limit(const Job& job, std::uint32_t more_tasks) const {
     const auto known = team_use_.find(job.team);
-    Amount use = known == team_use_.end() ? Amount{} : known->second;
+    Resources use = known == team_use_.end() ? Resources{} : known->second;
     if (const auto stopped = stopped_.find(job.team); stopped != stopped_.end()) use += stopped->second;
     return fits_limit(job, use, more_tasks);
 }
 
 bool PlacementTrial::within_limit_beside_services(const Job& job, std::uint32_t more_tasks) const {
-    Amount use;
-    for (const auto& [id, entry] : input_.ledger->jobs()) {
+    Resources use;
+    for (const auto& [id, entry] : input_.job_table->jobs()) {
         const bool service = entry.job.kind == JobKind::service && !entry.job.cancelled;
-        if (service && entry.job.team == job.team) use += entry.job.need * static_cast<double>(entry.open);
+        if (service && entry.job.team == job.team)
+            use += entry.job.resources * static_cast<double>(entry.open);
     }
     return fits_limit(job, use, more_tasks);
 }
 
 void PlacementTrial::stop(const Job& job) {
-    team_use_[job.team] -= job.need;
-    stopped_[job.team] += job.need;
+    team_use_[job.team] -= job.resources;
+    stopped_[job.team] += job.resources;
 }
 
-bool PlacementTrial::fits_limit(const Job& job, const Amount& use, std::uint32_t more_tasks) const {
+bool PlacementTrial::fits_limit(const Job& job, const Resources& use, std::uint32_t more_tasks) const {
     const auto team = input_.teams->find(job.team);
     if (team == input_.teams->end()) return false;
-    return use.cpus + job.need.cpus * more_tasks <= team->second.cpus_max + kSlack &&
-           use.gpus + job.need.gpus * more_tasks <= team->second.gpus_max + kSlack;
+    return use.cpus + job.resources.cpus * more_tasks <= team->second.cpus_max + kResourceTolerance &&
+           use.gpus + job.resources.gpus * more_tasks <= team->second.gpus_max + kResourceTolerance;
 }
 
 void PlacementTrial::start(const JobEntry& entry, std::uint32_t task, std::uint64_t attempt,
                            std::size_t machine) {
     const MachineCapacity& chosen = capacity_.machines()[machine];
-    capacity_.take(machine, entry.job.need);
-    (chosen.spot ? free_spot_cpus_ : free_ordinary_cpus_) -= entry.job.need.cpus;
-    charge_team(entry.job.team, entry.job.need);
-    result_.starts.push_back({entry.job.id, task, {attempt, chosen.id, chosen.session}});
+    capacity_.take(machine, entry.job.resources);
+    (chosen.spot ? free_spot_cpus_ : free_ordinary_cpus_) -= entry.job.resources.cpus;
+    charge_team(entry.job.team, entry.job.resources);
+    result_.starts.push_back({entry.job.id, task, {attempt, chosen.id, chosen.incarnation}});
     started_.insert({entry.job.id, task});
     records_.insert({&entry, task / kChunkTasks});
 }
 
 bool PlacementTrial::listed_on(std::size_t machine, const JobEntry& entry, std::uint32_t task) const {
     const MachineView* view = capacity_.machines()[machine].view;
-    const TaskReport* listed = view == nullptr ? nullptr : view->task(entry.job.id, task);
+    const TaskStatus* listed = view == nullptr ? nullptr : view->task(entry.job.id, task);
     if (listed == nullptr) return false;
     // A gang's replacement bears the attempt number that its worker knows as exited.
     return listed->state != TaskState::exited || entry.job.kind == JobKind::gang;
@@ -83,7 +84,7 @@
 
 void PlacementTrial::take_reserved(const Reservation& reservation, double sign) {
     const auto machine = capacity_.at(reservation.machine);
-    if (machine != FreeCapacity::npos) capacity_.take(machine, reservation.need * sign);
+    if (machine != FreeCapacity::npos) capacity_.take(machine, reservation.resources * sign);
 }
 
 PlacementTrial::Savepoint PlacementTrial::savepoint(const std::string& team) {
--- a/src/core/placement_trial.hpp
+++ b/src/core/placement_trial.hpp
@@ -28,8 +28,8 @@
     // The same with nothing running but the team's services, which run until somebody cancels them.
     bool within_limit_beside_services(const Job& job, std::uint32_t more_tasks) const;
     // Of a team of the input: its recorded attempts and this pass's decisions, less what it stops.
-    const Amount& team_use(const std::string& team) const { return team_use_.at(team); }
-    void charge_team(const std::string& team, const Amount& amount) { team_use_[team] += amount; }
+    const Resources& team_use(const std::string& team) const { return team_use_.at(team); }
+    void charge_team(const std::string& team, const Resources& amount) { team_use_[team] += amount; }
     // A running task of that job is told to stop.
     void stop(const Job& job);
 
@@ -51,13 +51,13 @@
         std::size_t capacity_mark = 0;
         std::size_t starts = 0;
         std::string team;
-        Amount team_use;
+        Resources team_use;
     };
     Savepoint savepoint(const std::string& team);
     void roll_back(const Savepoint& savepoint);
 
   private:
-    bool fits_limit(const Job& job, const Amount& use, std::uint32_t more_tasks) const;
+    bool fits_limit(const Job& job, const Resources& use, std::uint32_t more_tasks) const;
     void take_reserved(const Reservation& reservation, double sign);
     void hold_known_reservations();
     void count_free_cpus();
@@ -65,8 +65,8 @@
     const PlacementInput& input_;
     FreeCapacity& capacity_;
     PlacementResult result_;
-    std::map<std::string, Amount> team_use_;
-    std::map<std::string, Amount> stopped_;  // by team: told to stop in this pass, and not gone yet
+    std::map<std::string, Resources> team_use_;
+    std::map<std::string, Resources> stopped_;  // by team: told to stop in this pass, and not gone yet
     double free_spot_cpus_ = 0;
     double free_ordinary_cpus_ = 0;
     std::set<TaskRef> started_;
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/aging.hpp"
+#include "core/queue_order.hpp"
 
 namespace hatchwind::core {
 
@@ -22,7 +22,7 @@
 }
 }  // namespace
 
-Preemption::Preemption(PlacementTrial& trial, TeamClaims& claims) : trial_(trial), claims_(claims) {
+Preemption::Preemption(PlacementTrial& trial, FairShareRanking& ranking) : trial_(trial), ranking_(ranking) {
     for (const auto& objective : *trial.input().objectives) {
         if (objective.kind == "guarantee") patience_ = from_seconds(objective.within_s / 2);
     }
@@ -30,8 +30,8 @@
 
 bool Preemption::may_preempt_yet(const Job& job) const {
     // Tasks of arrays end all the time, and the queue's order gives what they leave to whom a stop would
-    // serve. Only who has waited for half the time that a guarantee allows stops others' work.
-    return job.kind != JobKind::array || trial_.input().wall - job.accepted >= patience_;
+    // serve. Only who has waited for half the time that a quota allows stops others' work.
+    return job.kind != JobKind::array || trial_.input().wall_clock_now - job.accepted >= patience_;
 }
 
 Priority Preemption::inherited_or_own(const Job& job) const {
@@ -44,20 +44,22 @@
     if (inherited == nullptr) return job.priority;
     // A stop costs work that is lost. While the pipeline has time left, the job waits for what ends by
     // itself.
-    if (!inherited->latest_start || input.wall >= *inherited->latest_start) return inherited->priority;
+    if (!inherited->latest_start || input.wall_clock_now >= *inherited->latest_start)
+        return inherited->priority;
     for (const auto& objective : *input.objectives) {
         if (objective.kind != "wait" || objective.job_class != job.job_class) continue;
-        if (input.wall - job.accepted >= from_seconds(objective.within_s / 2)) return inherited->priority;
+        if (input.wall_clock_now - job.accepted >= from_seconds(objective.within_s / 2))
+            return inherited->priority;
     }
     return job.priority;
 }
 
-bool Preemption::may_stop(const Job& job, const Claim& claim, const Victim& victim) {
-    if (claim <= victim.claim) return false;
-    if (claim.priority > victim.claim.priority) return true;
-    if (job.team == victim.entry->job.team || claim.rank == Claim::Rank::beyond_guarantee) return false;
-    return victim.team_use->cpus > victim.team->cpus + kSlack ||
-           victim.team_use->gpus > victim.team->gpus + kSlack;
+bool Preemption::may_stop(const Job& job, const PreemptionRank& rank, const Victim& victim) {
+    if (rank <= victim.rank) return false;
+    if (rank.priority > victim.rank.priority) return true;
+    if (job.team == victim.entry->job.team || rank.tier == PreemptionRank::Tier::beyond_quota) return false;
+    return victim.team_use->cpus > victim.team->cpus + kResourceTolerance ||
+           victim.team_use->gpus > victim.team->gpus + kResourceTolerance;
 }
 
 bool Preemption::never_stopped(const TaskRef& task, const Job& job) const {
@@ -69,29 +71,31 @@
 Preemption::VictimCost Preemption::victim_cost(const JobEntry& entry, TaskState state) const {
     // The first task of a job that had to begin comes last of all: stopped, the job has not begun, and on a
     // full fleet that went on for minutes.
-    const bool begun_late = entry.open == 1 && waited_too_long(entry, trial_.input().wall);
+    const bool begun_late = entry.open == 1 && waited_too_long(entry, trial_.input().wall_clock_now);
     const int priority = static_cast<int>(inherited_or_own(entry.job)) + (begun_late ? kBegunLatePenalty : 0);
-    return {priority, lost_work(entry.job, state), entry.job.need.cpus};
+    return {priority, lost_work(entry.job, state), entry.job.resources.cpus};
 }
 
 std::vector<Preemption::Victim> Preemption::find_stoppable(const MachineCapacity& machine) {
     std::vector<Victim> victims;
-    if (!machine.usable || machine.draining || machine.held == nullptr) return victims;
+    if (!machine.usable || machine.draining || machine.recorded_attempts == nullptr) return victims;
     const JobEntry* last = nullptr;
-    Claim claim;
-    for (const auto& [task, held] : *machine.held) {
-        const Job& job = held.entry->job;
+    PreemptionRank rank;
+    for (const auto& [task, recorded_attempts] : *machine.recorded_attempts) {
+        const Job& job = recorded_attempts.entry->job;
         if (never_stopped(task, job)) continue;
-        const auto view = view_attempt(*machine.view, task.job, task.task, held.number, held.session);
-        if (view.fate != Fate::live || view.state == TaskState::saving) continue;
-        if (held.entry != last) {
-            last = held.entry;
-            claim = claims_.claim(job);
+        const auto view = view_attempt(*machine.view, task.job, task.task, recorded_attempts.number,
+                                       recorded_attempts.incarnation);
+        if (view.status != AttemptStatus::live || view.state == TaskState::saving) continue;
+        if (recorded_attempts.entry != last) {
+            last = recorded_attempts.entry;
+            rank = ranking_.rank(job);
         }
-        const VictimCost cost = victim_cost(*held.entry, view.state);
-        const Amount& team_use = trial_.team_use(job.team);
+        const VictimCost cost = victim_cost(*recorded_attempts.entry, view.state);
+        const Resources& team_use = trial_.team_use(job.team);
         const Team& team = trial_.input().teams->at(job.team);
-        victims.push_back({held.entry, task.task, held.number, cost, claim, &team_use, &team});
+        victims.push_back(
+            {recorded_attempts.entry, task.task, recorded_attempts.number, cost, rank, &team_use, &team});
     }
     std::sort(victims.begin(), victims.end(),
               [](const Victim& left, const Victim& right) { return left.cost < right.cost; });
@@ -107,7 +111,7 @@
 
 bool Preemption::worth_a_look(const Request& request, const MachineCapacity& machine) const {
     const Job& job = request.entry.job;
-    if (machine.held == nullptr) return false;
+    if (machine.recorded_attempts == nullptr) return false;
     if (request.with_image && !machine.has_image(job.image)) return false;
     return may_run_on(job, machine) && request.zones.allows(job, machine.zone);
 }
@@ -116,15 +120,15 @@
     const Job& job = request.entry.job;
     const MachineCapacity& at = trial_.capacity().machines()[machine];
     Plan plan{machine, {}, {}};
-    Amount free = at.free;
+    Resources free = at.free;
     for (Victim& victim : stoppable(machine)) {
-        if (job.need.fits_in(free)) break;
-        if (victim.stopping || !may_stop(job, request.claim, victim)) continue;
+        if (job.resources.fits_in(free)) break;
+        if (victim.stopping || !may_stop(job, request.rank, victim)) continue;
         plan.victims.push_back(&victim);
-        free += victim.entry->job.need;
+        free += victim.entry->job.resources;
     }
     if (plan.victims.empty()) return plan;
-    if (!job.need.fits_in(free) || trial_.listed_on(machine, request.entry, request.task)) {
+    if (!job.resources.fits_in(free) || trial_.listed_on(machine, request.entry, request.task)) {
         plan.victims.clear();
         return plan;
     }
@@ -157,7 +161,7 @@
         const bool saves = job.kind != JobKind::service && stopped.checkpoint_s > 0;
         const double grace_s = saves ? stopped.save_s + kSaveMarginSeconds : 0;
         trial_.result().stops.push_back(
-            {stopped.id, victim->task, {victim->attempt, machine.id, machine.session}, grace_s});
+            {stopped.id, victim->task, {victim->attempt, machine.id, machine.incarnation}, grace_s});
         longest_grace_s = std::max(longest_grace_s, grace_s);
     }
     return longest_grace_s;
@@ -167,22 +171,22 @@
     const Job& job = entry.job;
     if (trial_.result().stops.size() >= trial_.input().most_stops) return false;
     if (!may_preempt_yet(job)) return false;
-    const Claim claim = claims_.claim(job, stopping_priority(job));
+    const PreemptionRank rank = ranking_.rank(job, stopping_priority(job));
     // A search that found nothing finds nothing for the next job of that shape and claim.
-    const SearchKey key{shape(job), claim, job.team, with_image ? job.image : std::string{}};
+    const SearchKey key{shape(job), rank, job.team, with_image ? job.image : std::string{}};
     if (without_victims_.contains(key)) return false;
-    const Plan plan = cheapest_plan({entry, zones, task, with_image, claim});
+    const Plan plan = cheapest_plan({entry, zones, task, with_image, rank});
     if (plan.victims.empty()) {
         if (!job.spread && !job.one_zone) without_victims_.insert(key);
         return false;
     }
     // The victims' capacity is not free before they have gone: a start into it now would be refused.
     const double longest_grace_s = stop_victims(plan, job);
-    trial_.capacity().take(plan.machine, job.need);
-    trial_.charge_team(job.team, job.need);
+    trial_.capacity().take(plan.machine, job.resources);
+    trial_.charge_team(job.team, job.resources);
     const Micros until = trial_.input().now + kStopTime + from_seconds(longest_grace_s);
     const std::string& machine = trial_.capacity().machines()[plan.machine].id;
-    trial_.result().reservations[{job.id, task}] = {machine, job.need, until};
+    trial_.result().reservations[{job.id, task}] = {machine, job.resources, until};
     return true;
 }
 
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
+#include "core/fair_share_ranking.hpp"
 #include "core/placement_trial.hpp"
-#include "core/team_claims.hpp"
 
 namespace hatchwind::core {
 
 class Preemption {
   public:
-    Preemption(PlacementTrial& trial, TeamClaims& claims);
+    Preemption(PlacementTrial& trial, FairShareRanking& ranking);
 
     // Stops what is needed for the task and reserves the machine for it; false when nothing suits.
     // `with_image`: only on machines that have the job's image.
@@ -32,9 +32,9 @@
         std::uint32_t task = 0;
         std::uint64_t attempt = 0;
         VictimCost cost;
-        Claim claim;
-        const Amount* team_use = nullptr;  // what its team uses in this pass
-        const Team* team = nullptr;        // and what it is guaranteed
+        PreemptionRank rank;
+        const Resources* team_use = nullptr;  // what its team uses in this pass
+        const Team* team = nullptr;           // and what it is guaranteed
         bool stopping = false;
     };
     struct PlanCost {
@@ -56,11 +56,11 @@
         const ZoneUse& zones;
         std::uint32_t task;
         bool with_image;
-        Claim claim;
+        PreemptionRank rank;
     };
     struct SearchKey {
         Shape shape;
-        Claim claim;
+        PreemptionRank rank;
         std::string team;
         std::string image;
         friend auto operator<=>(const SearchKey&, const SearchKey&) = default;
@@ -70,7 +70,7 @@
     Priority inherited_or_own(const Job& job) const;
     // The priority with which the job stops others.
     Priority stopping_priority(const Job& job) const;
-    static bool may_stop(const Job& job, const Claim& claim, const Victim& victim);
+    static bool may_stop(const Job& job, const PreemptionRank& rank, const Victim& victim);
     bool worth_a_look(const Request& request, const MachineCapacity& machine) const;
     // The cheapest plan; without victims when there is none.
     Plan cheapest_plan(const Request& request);
@@ -84,7 +84,7 @@
     double stop_victims(const Plan& plan, const Job& job);
 
     PlacementTrial& trial_;
-    TeamClaims& claims_;
+    FairShareRanking& ranking_;
     Micros patience_{};
     std::set<SearchKey> without_victims_;
     std::vector<std::optional<std::vector<Victim>>> victims_;  // by machine; none: not looked for yet
--- a/src/core/aging.cpp
+++ b/src/core/queue_order.cpp
@@ -1,4 +1,4 @@
-#include "core/aging.hpp"
+#include "core/queue_order.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -31,12 +31,12 @@
 }
 
 // The job's own wishes, without what pipelines ask of it.
-Micros own_due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall) {
+Micros own_due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall_clock_now) {
     const Micros run = from_seconds(job.estimate_s * kTrustedShareOfEstimate);
     Micros due = late_due(job, last_wish(job, objectives));
     const auto consider = [&](double within_s) {
         const Micros at = job.accepted + from_seconds(within_s);
-        if (at >= wall + run) due = std::min(due, at);
+        if (at >= wall_clock_now + run) due = std::min(due, at);
     };
     if (job.deadline_s) consider(*job.deadline_s);
     for (const auto& objective : objectives) {
@@ -63,21 +63,21 @@
            std::tie(right.rank, right.due, right.entry->job.id);
 }
 
-QueuePosition position_of(const JobEntry& entry, const std::vector<Objective>& objectives, Micros wall,
-                          const PipelineSchedule* pipelines) {
-    const Micros own_due = own_due_time(entry.job, objectives, wall);
+QueuePosition position_of(const JobEntry& entry, const std::vector<Objective>& objectives,
+                          Micros wall_clock_now, const PipelineSchedule* pipelines) {
+    const Micros own_due = own_due_time(entry.job, objectives, wall_clock_now);
     // What is late even by its last due time goes before other arrays of any priority. The time that a
     // pipeline leaves is a plan with a margin: to be past it raises no priority.
     int rank = -static_cast<int>(effective_priority(entry.job, pipelines));
-    if (wall > own_due) rank = std::min(rank, -static_cast<int>(Priority::high));
+    if (wall_clock_now > own_due) rank = std::min(rank, -static_cast<int>(Priority::high));
     return {rank, earlier_if_needed(entry.job, own_due, pipelines), &entry};
 }
 
 }  // namespace
 
-Micros due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall,
+Micros due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall_clock_now,
                 const PipelineSchedule* pipelines) {
-    return earlier_if_needed(job, own_due_time(job, objectives, wall), pipelines);
+    return earlier_if_needed(job, own_due_time(job, objectives, wall_clock_now), pipelines);
 }
 
 Micros deadline_still_met(const Job& job, const std::vector<Objective>& objectives, Micros soonest_done) {
@@ -93,21 +93,21 @@
     return due;
 }
 
-bool waited_too_long(const JobEntry& entry, Micros wall) {
-    return entry.done == 0 && wall - entry.job.accepted >= kBeginWithin;
+bool waited_too_long(const JobEntry& entry, Micros wall_clock_now) {
+    return entry.done == 0 && wall_clock_now - entry.job.accepted >= kBeginWithin;
 }
 
-bool must_begin(const JobEntry& entry, Micros wall) {
-    return entry.open == 0 && waited_too_long(entry, wall);
+bool must_begin(const JobEntry& entry, Micros wall_clock_now) {
+    return entry.open == 0 && waited_too_long(entry, wall_clock_now);
 }
 
-std::vector<const JobEntry*> queue_order(const Ledger& ledger, const std::set<std::string>& teams,
-                                         const std::vector<Objective>& objectives, Micros wall,
+std::vector<const JobEntry*> queue_order(const JobTable& job_table, const std::set<std::string>& teams,
+                                         const std::vector<Objective>& objectives, Micros wall_clock_now,
                                          const PipelineSchedule* pipelines) {
     std::vector<QueuePosition> positions;
-    for (const auto& [id, entry] : ledger.jobs()) {
+    for (const auto& [id, entry] : job_table.jobs()) {
         if (entry.job.cancelled || entry.unstarted() == 0 || !teams.contains(entry.job.team)) continue;
-        positions.push_back(position_of(entry, objectives, wall, pipelines));
+        positions.push_back(position_of(entry, objectives, wall_clock_now, pipelines));
     }
     std::sort(positions.begin(), positions.end(), goes_before);
     std::vector<const JobEntry*> queue;
@@ -116,10 +116,10 @@
     return queue;
 }
 
-std::vector<const JobEntry*> overdue_jobs(const std::vector<const JobEntry*>& queue, Micros wall) {
+std::vector<const JobEntry*> overdue_jobs(const std::vector<const JobEntry*>& queue, Micros wall_clock_now) {
     std::vector<const JobEntry*> overdue;
     for (const JobEntry* entry : queue) {
-        if (must_begin(*entry, wall)) overdue.push_back(entry);
+        if (must_begin(*entry, wall_clock_now)) overdue.push_back(entry);
     }
     std::stable_sort(overdue.begin(), overdue.end(), [](const JobEntry* left, const JobEntry* right) {
         return left->job.accepted < right->job.accepted;
--- a/src/core/aging.hpp
+++ b/src/core/queue_order.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 #include "core/pipeline_schedule.hpp"
 
 namespace hatchwind::core {
@@ -19,7 +19,7 @@
 
 // The time of day by which the job's users want it: the earliest of its deadline and its class's objectives
 // that a task started now can still meet; earlier still where a pipeline needs it. `pipelines` may be null.
-Micros due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall,
+Micros due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall_clock_now,
                 const PipelineSchedule* pipelines = nullptr);
 
 // Of the job's deadline and the multiples of it that its class's objectives name, the earliest that is not
@@ -27,17 +27,17 @@
 Micros deadline_still_met(const Job& job, const std::vector<Objective>& objectives, Micros soonest_done);
 
 // Nothing of it has finished kBeginWithin after it was accepted.
-bool waited_too_long(const JobEntry& entry, Micros wall);
+bool waited_too_long(const JobEntry& entry, Micros wall_clock_now);
 
 // Has waited too long for its first start.
-bool must_begin(const JobEntry& entry, Micros wall);
+bool must_begin(const JobEntry& entry, Micros wall_clock_now);
 
 // Jobs of the given teams with tasks to start, most urgent first. `pipelines` may be null.
-std::vector<const JobEntry*> queue_order(const Ledger& ledger, const std::set<std::string>& teams,
-                                         const std::vector<Objective>& objectives, Micros wall,
+std::vector<const JobEntry*> queue_order(const JobTable& job_table, const std::set<std::string>& teams,
+                                         const std::vector<Objective>& objectives, Micros wall_clock_now,
                                          const PipelineSchedule* pipelines = nullptr);
 
 // Those of the queue that must begin, the longest wait first.
-std::vector<const JobEntry*> overdue_jobs(const std::vector<const JobEntry*>& queue, Micros wall);
+std::vector<const JobEntry*> overdue_jobs(const std::vector<const JobEntry*>& queue, Micros wall_clock_now);
 
 }  // namespace hatchwind::core
--- a/src/core/fleet_planner.cpp
+++ b/src/core/scale_out_planner.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet_planner.hpp"
+#include "core/scale_out_planner.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,12 +10,12 @@
 
 namespace {
 
-// The estimate is the owner's and may be missing; a task of unknown length counts as a minute.
+// The estimate is the shard shard owner's and may be missing; a task of unknown length counts as a minute.
 double task_seconds(const Job& j) { return j.estimate_s > 0 ? j.estimate_s : 60; }
 
 class Planner {
   public:
-    Planner(const FleetSettings& s, const FleetInput& in, FreeCapacity& capacity)
+    Planner(const ScaleOutSettings& s, const ScaleOutInput& in, FreeCapacity& capacity)
         : settings_(s), in_(in), capacity_(capacity) {
         for (const auto& b : in.booting) {
             const auto t = in.catalog->find(b.type);
@@ -28,14 +28,15 @@
             m.free = t->second.size;
             capacity_.add(std::move(m));
         }
-        for (const auto& [name, team] : *in.teams) used_[name] = in.ledger->team_use(name);
+        for (const auto& [name, team] : *in.teams) used_[name] = in.job_table->team_use(name);
         for (const auto& m : capacity_.machines()) ++in_zone_[m.zone];
     }
 
-    std::map<Pool, std::uint32_t> run() {
+    std::map<InstancePool, std::uint32_t> run() {
         std::set<std::string> teams;
         for (const auto& [name, team] : *in_.teams) teams.insert(name);
-        const auto queue = queue_order(*in_.ledger, teams, *in_.objectives, in_.wall, in_.pipelines);
+        const auto queue =
+            queue_order(*in_.job_table, teams, *in_.objectives, in_.wall_clock_now, in_.pipelines);
         // Tasks that never end, and gangs, need capacity of their own now.
         for (const JobEntry* e : queue) {
             if (e->job.kind != JobKind::array) place_all(*e);
@@ -54,8 +55,9 @@
   private:
     bool within_limit(const Job& j) const {
         const auto& t = in_.teams->at(j.team);
-        const Amount& u = used_.at(j.team);
-        return u.cpus + j.need.cpus <= t.cpus_max + kSlack && u.gpus + j.need.gpus <= t.gpus_max + kSlack;
+        const Resources& u = used_.at(j.team);
+        return u.cpus + j.resources.cpus <= t.cpus_max + kResourceTolerance &&
+               u.gpus + j.resources.gpus <= t.gpus_max + kResourceTolerance;
     }
 
     bool open_for(const JobEntry& e, const ZoneUse& zones, const MachineCapacity& m) const {
@@ -66,8 +68,8 @@
     std::uint32_t fill(const JobEntry& e, ZoneUse& zones, std::size_t i, std::uint32_t n) {
         std::uint32_t taken = 0;
         while (taken < n && within_limit(e.job) && open_for(e, zones, capacity_.machines()[i])) {
-            capacity_.take(i, e.job.need);
-            used_[e.job.team] += e.job.need;
+            capacity_.take(i, e.job.resources);
+            used_[e.job.team] += e.job.resources;
             zones.add(capacity_.machines()[i].zone);
             ++taken;
         }
@@ -87,7 +89,7 @@
         }
         if (!zoned) from = i == 0 ? 0 : i - 1;
         while (got < n && within_limit(e.job) && total_ < settings_.most_per_round) {
-            const auto pool = choose(e, zones, (n - got) * e.job.need.cpus);
+            const auto pool = choose(e, zones, (n - got) * e.job.resources.cpus);
             if (!pool) break;
             ++rent_[*pool];
             ++total_;
@@ -108,21 +110,21 @@
 
     // Not split yet: compares pools by one measure after the other.
     // NOLINTNEXTLINE(readability-function-cognitive-complexity)
-    std::optional<Pool> choose(const JobEntry& e, const ZoneUse& zones, double cpus_wanted) const {
-        std::optional<Pool> best;
+    std::optional<InstancePool> choose(const JobEntry& e, const ZoneUse& zones, double cpus_wanted) const {
+        std::optional<InstancePool> best;
         std::tuple<double, std::size_t> best_cost;
         for (const auto& [name, t] : *in_.catalog) {
-            if (!e.job.allows_type(name) || !e.job.need.fits_in(t.size)) continue;
+            if (!e.job.allows_type(name) || !e.job.resources.fits_in(t.size)) continue;
             for (const auto& zone : t.zones) {
                 if ((e.job.zone && *e.job.zone != zone) || !zones.allows(e.job, zone)) continue;
                 for (const bool spot : {true, false}) {
                     if (spot && !e.job.spot) continue;
-                    const Pool pool{name, zone, spot};
+                    const InstancePool pool{name, zone, spot};
                     const auto r = in_.refused_until.find(pool);
                     if (r != in_.refused_until.end() && r->second > in_.now) continue;
                     // Money for the capacity that the queue would really use on it.
                     const double price = spot ? t.spot_price : t.price;
-                    const double used = std::min(t.size.cpus, std::max(cpus_wanted, e.job.need.cpus));
+                    const double used = std::min(t.size.cpus, std::max(cpus_wanted, e.job.resources.cpus));
                     const std::tuple<double, std::size_t> cost{price / std::max(used, 1e-3),
                                                                machines_in(zone)};
                     if (!best || cost < best_cost) {
@@ -138,7 +140,7 @@
     bool has_home(const Job& j) const {
         return std::any_of(
             capacity_.machines().begin(), capacity_.machines().end(), [&](const MachineCapacity& m) {
-                return m.usable && !m.draining && may_run_on(j, m) && j.need.fits_in(m.type->size);
+                return m.usable && !m.draining && may_run_on(j, m) && j.resources.fits_in(m.type->size);
             });
     }
 
@@ -154,8 +156,8 @@
 
     // The part of the wanted time for which a task of this job needs its place.
     double time_share(const Job& j, double run) const {
-        const Micros due = due_time(j, *in_.objectives, in_.wall, in_.pipelines);
-        const double left = static_cast<double>((due - in_.wall).count()) / 1e6 - run;
+        const Micros due = due_time(j, *in_.objectives, in_.wall_clock_now, in_.pipelines);
+        const double left = static_cast<double>((due - in_.wall_clock_now).count()) / 1e6 - run;
         return std::min(1.0, run / std::max(left * settings_.slack_share, settings_.least_queue_s));
     }
 
@@ -163,14 +165,14 @@
         std::unordered_map<const JobEntry*, double> shares;
         for (std::size_t i = 0; i < capacity_.machines().size(); ++i) {
             const MachineCapacity& m = capacity_.machines()[i];
-            if (m.held == nullptr || !m.usable || m.draining) continue;
-            for (const auto& [ref, held] : *m.held) {
-                const JobEntry* e = held.entry;
+            if (m.recorded_attempts == nullptr || !m.usable || m.draining) continue;
+            for (const auto& [ref, recorded_attempts] : *m.recorded_attempts) {
+                const JobEntry* e = recorded_attempts.entry;
                 if (e->job.kind != JobKind::array) continue;
                 const auto [share, fresh] = shares.try_emplace(e, 0);
                 // Half of its run is still to come, as far as anyone knows.
                 if (fresh) share->second = 1 - time_share(e->job, task_seconds(e->job) / 2);
-                capacity_.give(i, e->job.need * share->second);
+                capacity_.give(i, e->job.resources * share->second);
             }
         }
     }
@@ -185,17 +187,18 @@
             return;
         }
         // What has waited too long needs a place now, whatever the queue would leave it.
-        owed_ += must_begin(e, in_.wall) ? std::max(1.0, share * e.unstarted()) : share * e.unstarted();
-        const auto whole = static_cast<std::uint32_t>(owed_);
+        reserved_ +=
+            must_begin(e, in_.wall_clock_now) ? std::max(1.0, share * e.unstarted()) : share * e.unstarted();
+        const auto whole = static_cast<std::uint32_t>(reserved_);
         if (whole == 0) return;
         const auto got = some(e, zones, std::min(whole, e.unstarted()));
-        owed_ = got < whole ? std::min(owed_ - got, 1.0) : owed_ - got;
+        reserved_ = got < whole ? std::min(reserved_ - got, 1.0) : reserved_ - got;
     }
 
     // Jobs that will be released soon, after all that is released already.
     void rent_ahead() {
         if (in_.pipelines == nullptr || settings_.release_ahead_s <= 0) return;
-        const Micros until = in_.wall + from_seconds(settings_.release_ahead_s);
+        const Micros until = in_.wall_clock_now + from_seconds(settings_.release_ahead_s);
         for (const auto& release : in_.pipelines->upcoming()) {
             const Job& job = release.entry->job;
             if (release.soonest > until || !in_.teams->contains(job.team_once_released)) continue;
@@ -220,21 +223,21 @@
         return entry;
     }
 
-    const FleetSettings& settings_;
-    const FleetInput& in_;
+    const ScaleOutSettings& settings_;
+    const ScaleOutInput& in_;
     FreeCapacity& capacity_;
-    std::map<Pool, std::uint32_t> rent_;
-    std::map<std::string, Amount> used_;
+    std::map<InstancePool, std::uint32_t> rent_;
+    std::map<std::string, Resources> used_;
     std::map<std::string, std::size_t> in_zone_;
     std::map<Shape, std::size_t> searched_;
-    double owed_ = 0;
+    double reserved_ = 0;
     std::size_t total_ = 0;
 };
 
 }  // namespace
 
-std::map<Pool, std::uint32_t> plan_rentals(const FleetSettings& s, const FleetInput& in,
-                                           FreeCapacity capacity) {
+std::map<InstancePool, std::uint32_t> plan_scale_out(const ScaleOutSettings& s, const ScaleOutInput& in,
+                                                     FreeCapacity capacity) {
     return Planner{s, in, capacity}.run();
 }
 
--- a/src/core/fleet_planner.hpp
+++ b/src/core/scale_out_planner.hpp
@@ -1,4 +1,4 @@
-// Renting follows the queue: what has no capacity, less what is booting already.
+// Scaling out follows the queue: what has no capacity, less what is booting already.
 #pragma once
 
 #include <map>
@@ -12,15 +12,15 @@
 
 namespace hatchwind::core {
 
-struct Pool {
+struct InstancePool {
     std::string type;
     std::string zone;
     bool spot = false;
     // NOLINTNEXTLINE(readability-implicit-bool-conversion): version 14 misreads the defaulted operator.
-    friend auto operator<=>(const Pool&, const Pool&) = default;
+    friend auto operator<=>(const InstancePool&, const InstancePool&) = default;
 };
 
-struct FleetSettings {
+struct ScaleOutSettings {
     // Rent so much that an array's queue starts within this part of the time that its due leaves it.
     double slack_share = 0.8;
     double least_queue_s = 15;
@@ -29,21 +29,21 @@
     double release_ahead_s = 0;
 };
 
-struct FleetInput {
-    const Ledger* ledger = nullptr;
+struct ScaleOutInput {
+    const JobTable* job_table = nullptr;
     const ClusterView* cluster_view = nullptr;
     const Catalog* catalog = nullptr;
     const std::map<std::string, Team>* teams = nullptr;
     const std::vector<Objective>* objectives = nullptr;
-    const PipelineSchedule* pipelines = nullptr;  // null: no job waits for others
-    std::vector<Rental> booting;                  // rented, not reporting yet, not overdue
-    std::map<Pool, Micros> refused_until;         // steady
-    Micros now{};                                 // steady
-    Micros wall{};                                // time of day
+    const PipelineSchedule* pipelines = nullptr;   // null: no job waits for others
+    std::vector<Instance> booting;                 // rented, not reporting yet, not overdue
+    std::map<InstancePool, Micros> refused_until;  // steady
+    Micros now{};                                  // steady
+    Micros wall_clock_now{};                       // time of day
 };
 
 // How many machines to rent from which pool.
-std::map<Pool, std::uint32_t> plan_rentals(const FleetSettings& s, const FleetInput& in,
-                                           FreeCapacity capacity);
+std::map<InstancePool, std::uint32_t> plan_scale_out(const ScaleOutSettings& s, const ScaleOutInput& in,
+                                                     FreeCapacity capacity);
 
 }  // namespace hatchwind::core
--- a/src/core/task_placement.cpp
+++ b/src/core/task_placement.cpp
@@ -49,7 +49,8 @@
         // The job's other tasks have the same shape.
         return preemption_.preempt(entry, search.zones, task) ? Outcome::waits : Outcome::job_must_wait;
     }
-    if (!reserved && search.extent != Extent::first && !claims_.leaves_owed(entry.job, *machine))
+    if (!reserved && search.extent != Extent::first &&
+        !ranking_.leaves_quota_reservations(entry.job, *machine))
         return Outcome::job_must_wait;
     if (reserved) {
         reservations.erase(reservation);
@@ -65,7 +66,7 @@
 bool TaskPlacement::fits(const JobSearch& search, std::size_t machine) const {
     const MachineCapacity& candidate = trial_.capacity().machines()[machine];
     const Job& job = search.entry.job;
-    return job.need.fits_in(candidate.free) && search.zones.allows(job, candidate.zone);
+    return job.resources.fits_in(candidate.free) && search.zones.allows(job, candidate.zone);
 }
 
 std::optional<std::size_t> TaskPlacement::reserved_machine(const JobSearch& search, std::uint32_t task,
--- a/src/core/task_placement.hpp
+++ b/src/core/task_placement.hpp
@@ -6,16 +6,17 @@
 #include <vector>
 
 #include "core/candidate_search.hpp"
+#include "core/fair_share_ranking.hpp"
 #include "core/placement_trial.hpp"
 #include "core/preemption.hpp"
-#include "core/team_claims.hpp"
 
 namespace hatchwind::core {
 
 class TaskPlacement {
   public:
-    TaskPlacement(PlacementTrial& trial, CandidateSearch& search, TeamClaims& claims, Preemption& preemption)
-        : trial_(trial), search_(search), claims_(claims), preemption_(preemption) {}
+    TaskPlacement(PlacementTrial& trial, CandidateSearch& search, FairShareRanking& ranking,
+                  Preemption& preemption)
+        : trial_(trial), search_(search), ranking_(ranking), preemption_(preemption) {}
 
     // As many tasks as the pass and the team's limit allow.
     void place_all(const JobEntry& entry) { place(entry, Extent::all); }
@@ -47,7 +48,7 @@
 
     PlacementTrial& trial_;
     CandidateSearch& search_;
-    TeamClaims& claims_;
+    FairShareRanking& ranking_;
     Preemption& preemption_;
     // Kept for the whole pass: a job that had to begin is tried twice.
     std::unordered_map<const JobEntry*, ZoneUse> zones_;
--- a/src/emulator/deployment.cpp
+++ b/src/emulator/deployment.cpp
@@ -11,7 +11,7 @@
     return static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(2 * most_ppm + 1)) - most_ppm;
 }
 
-StateLimits limits_of(const service::Settings& settings) {
+StateLimits limits_of(const controller::Settings& settings) {
     StateLimits limits;
     limits.requests_per_s = settings.state_rps;
     limits.writes_per_s = settings.state_write_rps;
@@ -39,7 +39,7 @@
         nodes_.push_back(&world.add_host("node" + std::to_string(i), host));
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-        service::Settings settings = options_.settings;
+        controller::Settings settings = options_.settings;
         settings.label = label(i);
         settings.zone = nodes_[i]->zone();
         settings.api = api(i);
@@ -56,10 +56,10 @@
 void Deployment::start(std::size_t index) {
     Host& host = node(index);
     host.start([&]() -> std::shared_ptr<void> {
-        const service::Settings& settings = settings_.at(index);
-        service::Tunables tunables = service::tune({}, settings);
+        const controller::Settings& settings = settings_.at(index);
+        controller::Tunables tunables = controller::tune({}, settings);
         if (options_.adjust) options_.adjust(tunables);
-        auto made = std::make_shared<service::Service>(host.loop(), settings, tunables);
+        auto made = std::make_shared<controller::Controller>(host.loop(), settings, tunables);
         made->start();
         return made;
     });
@@ -75,13 +75,13 @@
 }
 
 std::string Deployment::leader() const {
-    const auto found = state_->store().items().find(service::keys::kEpoch);
+    const auto found = state_->store().items().find(controller::keys::kEpoch);
     if (found == state_->store().items().end()) return "";
     return wire::text(found->second.value, "leader").value_or("");
 }
 
 std::uint64_t Deployment::epoch() const {
-    const auto found = state_->store().items().find(service::keys::kEpoch);
+    const auto found = state_->store().items().find(controller::keys::kEpoch);
     if (found == state_->store().items().end()) return 0;
     return wire::whole(found->second.value, "number").value_or(0);
 }
--- a/src/emulator/deployment.hpp
+++ b/src/emulator/deployment.hpp
@@ -7,20 +7,20 @@
 #include <string>
 #include <vector>
 
+#include "controller/controller.hpp"
 #include "emulator/state_service.hpp"
 #include "emulator/world.hpp"
-#include "service/service.hpp"
 
 namespace hatchwind::emulator {
 
 struct DeploymentOptions {
     std::size_t nodes = 3;
     // What all controllers have in common. Label, zone, addresses and peers are filled in.
-    service::Settings settings;
+    controller::Settings settings;
     // Given to the controllers in turn; empty: the settings' zones.
     std::vector<std::string> node_zones;
     // Called with each controller's tunables, which begin as the service's own defaults.
-    std::function<void(service::Tunables&)> adjust;
+    std::function<void(controller::Tunables&)> adjust;
     // Clocks run apart by up to so much, drawn from the seed.
     std::int64_t most_drift_ppm = 500;
 };
@@ -40,7 +40,7 @@
     Host& state_host() { return *state_host_; }
     StateService& state() { return *state_; }
     // The settings that a controller is started with; changes hold from its next start.
-    service::Settings& settings(std::size_t index) { return settings_.at(index); }
+    controller::Settings& settings(std::size_t index) { return settings_.at(index); }
 
     void start(std::size_t index);
     void start_all();
@@ -62,7 +62,7 @@
     Host* state_host_;
     std::unique_ptr<StateService> state_;
     std::vector<Host*> nodes_;
-    std::vector<service::Settings> settings_;
+    std::vector<controller::Settings> settings_;
 };
 
 }  // namespace hatchwind::emulator
--- a/src/emulator/play.cpp
+++ b/src/emulator/play.cpp
@@ -29,8 +29,8 @@
     return world;
 }
 
-service::Settings settings_of(const Scenario& scenario) {
-    service::Settings settings;
+controller::Settings settings_of(const Scenario& scenario) {
+    controller::Settings settings;
     settings.zones = scenario.zones();
     for (const TeamSpec& team : scenario.teams) {
         settings.teams[team.name] = {team.name, team.cores, team.limit.cores, team.accelerators,
@@ -191,7 +191,7 @@
     world_.run_as(users_host_, [&] { model_faults_->end(fault); });
 }
 
-void Play::tick() {
+void Play::heartbeat_sequence() {
     checker_.advance(world_.now());
     const std::string leader = deployment_.leader();
     if (leader != last_leader_) {
@@ -203,14 +203,14 @@
         last_leader_ = leader;
     }
     if (options_.progress && world_.now() % kProgressEvery < kTick) options_.progress(world_.now());
-    world_.after(kTick, [this] { tick(); });
+    world_.after(kTick, [this] { heartbeat_sequence(); });
 }
 
 void Play::run() {
     deployment_.start_all();
     for (const Fault& fault : scenario_.faults) schedule(fault);
     world_.at(scenario_.troubles_over_at() + kSettling, [this] { recorder_.record(TroublesOver{}); });
-    world_.after(kTick, [this] { tick(); });
+    world_.after(kTick, [this] { heartbeat_sequence(); });
     world_.run_until(from_seconds(scenario_.duration_s));
     checker_.finish(world_.now());
 }
--- a/src/emulator/play.hpp
+++ b/src/emulator/play.hpp
@@ -61,7 +61,7 @@
     void schedule(const Fault& fault);
     void begin(const Fault& fault);
     void end(const Fault& fault);
-    void tick();
+    void heartbeat_sequence();
 
     Scenario scenario_;
     PlayOptions options_;
--- a/src/emulator/protocol.cpp
+++ b/src/emulator/protocol.cpp
@@ -110,9 +110,15 @@
         }
         legs.push_back(std::move(leg));
     }
-    Json body{{"perch", report.machine}, {"address", report.address}, {"build", report.type},
-              {"roost", report.zone},    {"borrowed", report.spot},   {"stint", report.session},
-              {"tick", report.tick},     {"baton", report.token},     {"warningS", nullptr},
+    Json body{{"perch", report.machine},
+              {"address", report.address},
+              {"build", report.type},
+              {"roost", report.zone},
+              {"borrowed", report.spot},
+              {"stint", report.incarnation},
+              {"tick", report.heartbeat_sequence},
+              {"baton", report.fencing_token},
+              {"warningS", nullptr},
               {"legs", std::move(legs)}};
     if (report.notice_s) body["warningS"] = *report.notice_s;
     return body;
@@ -121,8 +127,8 @@
 CommandBatch parse_commands(const Json& body) {
     CommandBatch batch;
     if (!body.is_object()) return batch;
-    batch.token = wire::whole(body, "baton");
-    batch.session = wire::whole(body, "stint");
+    batch.fencing_token = wire::whole(body, "baton");
+    batch.incarnation = wire::whole(body, "stint");
     const Json* calls = wire::list(body, "calls");
     if (calls == nullptr) return batch;
     for (const Json& call : *calls) {
--- a/src/emulator/protocol.hpp
+++ b/src/emulator/protocol.hpp
@@ -99,9 +99,9 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 1;
-    std::uint64_t tick = 0;
-    std::uint64_t token = 0;
+    std::uint64_t incarnation = 1;
+    std::uint64_t heartbeat_sequence = 0;
+    std::uint64_t fencing_token = 0;
     std::optional<double> notice_s;
     std::vector<TaskStatus> tasks;
 };
@@ -119,11 +119,11 @@
 };
 using Command = std::variant<StartCommand, HaltCommand, ReapCommand>;
 
-/// Commands with the token that entitles them; missing fields stay empty.
+/// Commands with the fencing token that entitles them; missing fields stay empty.
 struct CommandBatch {
-    std::optional<std::uint64_t> token;
-    std::optional<std::uint64_t> session;  // in direct commands only
-    std::vector<Command> commands;         // those that are well formed, in order
+    std::optional<std::uint64_t> fencing_token;
+    std::optional<std::uint64_t> incarnation;  // in direct commands only
+    std::vector<Command> commands;             // those that are well formed, in order
 };
 CommandBatch parse_commands(const Json& body);
 /// The node that a 421 names.
--- a/src/emulator/state_service.cpp
+++ b/src/emulator/state_service.cpp
@@ -206,7 +206,7 @@
     }
     if (request.method == "GET" && target.starts_with("/store/"))
         co_return response(store_.get(target.substr(7)));
-    if (target.starts_with("/grants")) co_return grants(request);
+    if (target.starts_with("/grants")) co_return store_leases(request);
     co_return bad_request();
 }
 
@@ -215,12 +215,12 @@
     const auto life_ms = request ? wire::whole(*request, "lifeMs") : std::nullopt;
     if (!life_ms || *life_ms < 100 || *life_ms > 600'000) return bad_request();
     const Micros life{static_cast<std::int64_t>(*life_ms) * 1000};
-    const std::uint64_t grant = store_.grant(life, world_.now());
+    const std::uint64_t store_lease = store_.grant_lease(life, world_.now());
     grants_changed_.notify_all();
-    return response({200, {{"tenure", grant}}});
+    return response({200, {{"tenure", store_lease}}});
 }
 
-HttpResponse StateService::grants(const HttpRequest& request) {
+HttpResponse StateService::store_leases(const HttpRequest& request) {
     constexpr std::string_view prefix = "/grants/";
     constexpr std::string_view renewal = "/renew";
     if (request.method == "POST" && request.target == "/grants") return create_grant(request.body);
@@ -228,9 +228,9 @@
     std::string id = request.target.substr(prefix.size());
     const bool renews = request.method == "POST" && id.ends_with(renewal);
     if (renews) id.resize(id.size() - renewal.size());
-    const auto grant = whole(id);
-    if (!grant || (!renews && request.method != "DELETE")) return bad_request();
-    const bool found = renews ? store_.renew(*grant, world_.now()) : store_.end(*grant);
+    const auto store_lease = whole(id);
+    if (!store_lease || (!renews && request.method != "DELETE")) return bad_request();
+    const bool found = renews ? store_.renew_lease(*store_lease, world_.now()) : store_.end(*store_lease);
     grants_changed_.notify_all();
     if (!renews && found) changed_.notify_all();
     return found ? response({200}) : response({404});
--- a/src/emulator/state_service.hpp
+++ b/src/emulator/state_service.hpp
@@ -99,7 +99,7 @@
     io::Task<io::HttpResponse> answer(Client& client, io::HttpRequest request);
     io::Task<io::HttpResponse> commit(Client& client, std::string body);
     io::Task<io::HttpResponse> watch(Client& client, std::string target);
-    io::HttpResponse grants(const io::HttpRequest& request);
+    io::HttpResponse store_leases(const io::HttpRequest& request);
     io::HttpResponse create_grant(const std::string& body);
     Store::Answer apply(const std::string& client, const wire::Json& transaction);
     io::Task<void> apply_late(std::string client, wire::Json transaction, io::Micros delay);
--- a/src/emulator/store.cpp
+++ b/src/emulator/store.cpp
@@ -49,8 +49,8 @@
 
 bool Store::holds(const Json& condition) const {
     const auto found = items_.find(condition["path"].get<std::string>());
-    const std::uint64_t stamp = found == items_.end() ? 0 : found->second.stamp;
-    return stamp == condition["stamp"].get<std::uint64_t>();
+    const std::uint64_t mod_revision = found == items_.end() ? 0 : found->second.mod_revision;
+    return mod_revision == condition["stamp"].get<std::uint64_t>();
 }
 
 std::optional<Store::Answer> Store::refusal(const Json& request, const Limits& limits) const {
@@ -71,8 +71,8 @@
             return malformed("value too large");
     }
     for (const Json& write : writes) {
-        const auto grant = wire::whole(write, "tenure");
-        if (grant && !grants_.contains(*grant)) return malformed("no such lease");
+        const auto store_lease = wire::whole(write, "tenure");
+        if (store_lease && !grants_.contains(*store_lease)) return malformed("no such lease");
     }
     return std::nullopt;
 }
@@ -99,8 +99,8 @@
 Store::Answer Store::get(const std::string& key) const {
     const auto found = items_.find(key);
     if (found == items_.end()) return {404, {{"ledger", revision_}}};
-    Json body{{"path", key}, {"v", found->second.value}, {"stamp", found->second.stamp}};
-    if (found->second.grant != 0) body["tenure"] = found->second.grant;
+    Json body{{"path", key}, {"v", found->second.value}, {"stamp", found->second.mod_revision}};
+    if (found->second.store_lease != 0) body["tenure"] = found->second.store_lease;
     return {200, std::move(body)};
 }
 
@@ -110,7 +110,7 @@
     bool more = false;
     auto at = after >= prefix && !after.empty() ? items_.upper_bound(after) : items_.lower_bound(prefix);
     for (; at != items_.end() && at->first.starts_with(prefix); ++at) {
-        Json pair{{"path", at->first}, {"v", at->second.value}, {"stamp", at->second.stamp}};
+        Json pair{{"path", at->first}, {"v", at->second.value}, {"stamp", at->second.mod_revision}};
         bytes += json_bytes(pair);
         if (pairs.size() == std::min(most, kMostListed) || (bytes > kMostListedBytes && !pairs.empty())) {
             more = true;
@@ -147,23 +147,23 @@
     }
 }
 
-std::uint64_t Store::grant(Micros life, Micros now) {
+std::uint64_t Store::grant_lease(Micros life, Micros now) {
     grants_[++last_grant_] = {life, now + life};
     return last_grant_;
 }
 
-bool Store::renew(std::uint64_t grant, Micros now) {
-    const auto found = grants_.find(grant);
+bool Store::renew_lease(std::uint64_t store_lease, Micros now) {
+    const auto found = grants_.find(store_lease);
     if (found == grants_.end()) return false;
     found->second.until = now + found->second.life;
     return true;
 }
 
-bool Store::end(std::uint64_t grant) {
-    if (grants_.erase(grant) == 0) return false;
+bool Store::end(std::uint64_t store_lease) {
+    if (grants_.erase(store_lease) == 0) return false;
     std::vector<std::string> attached;
     for (const auto& [key, item] : items_)
-        if (item.grant == grant) attached.push_back(key);
+        if (item.store_lease == store_lease) attached.push_back(key);
     const std::uint64_t next = revision_ + 1;
     for (const auto& key : attached) {
         items_.erase(key);
@@ -173,20 +173,20 @@
 }
 
 void Store::refresh_grants(Micros now) {
-    for (auto& [id, grant] : grants_) grant.until = now + grant.life;
+    for (auto& [id, store_lease] : grants_) store_lease.until = now + store_lease.life;
 }
 
 bool Store::expire(Micros now) {
     std::vector<std::uint64_t> over;
-    for (const auto& [id, grant] : grants_)
-        if (grant.until <= now) over.push_back(id);
+    for (const auto& [id, store_lease] : grants_)
+        if (store_lease.until <= now) over.push_back(id);
     for (const auto id : over) end(id);
     return !over.empty();
 }
 
 Micros Store::next_expiry() const {
     Micros next = Micros::max();
-    for (const auto& [id, grant] : grants_) next = std::min(next, grant.until);
+    for (const auto& [id, store_lease] : grants_) next = std::min(next, store_lease.until);
     return next;
 }
 
--- a/src/emulator/store.hpp
+++ b/src/emulator/store.hpp
@@ -20,8 +20,8 @@
     using Json = wire::Json;
     struct Item {
         Json value;
-        std::uint64_t stamp = 0;
-        std::uint64_t grant = 0;  // 0: attached to none
+        std::uint64_t mod_revision = 0;
+        std::uint64_t store_lease = 0;  // 0: attached to none
     };
     struct Change {
         std::uint64_t revision = 0;
@@ -45,9 +45,9 @@
     // Changes after a revision; nothing when they are no longer kept.
     std::optional<Json> changes(const std::string& prefix, std::uint64_t after) const;
 
-    std::uint64_t grant(io::Micros life, io::Micros now);
-    bool renew(std::uint64_t grant, io::Micros now);
-    bool end(std::uint64_t grant);
+    std::uint64_t grant_lease(io::Micros life, io::Micros now);
+    bool renew_lease(std::uint64_t store_lease, io::Micros now);
+    bool end(std::uint64_t store_lease);
     // Every grant gets its full time again.
     void refresh_grants(io::Micros now);
     // Ends the grants whose time has come; says whether there were any.
@@ -57,7 +57,7 @@
 
     std::uint64_t revision() const { return revision_; }
     const std::map<std::string, Item>& items() const { return items_; }
-    bool has_grant(std::uint64_t grant) const { return grants_.contains(grant); }
+    bool has_grant(std::uint64_t store_lease) const { return grants_.contains(store_lease); }
 
   private:
     struct Grant {
--- a/src/emulator/users_troubles.cpp
+++ b/src/emulator/users_troubles.cpp
@@ -96,7 +96,7 @@
 }
 
 io::Task<void> Users::send_odd_request() {
-    enum Kind : std::uint8_t { submit_again, cancel_done, ask_unknown, unfit, kinds };
+    enum Kind : std::uint8_t { submit_again, cancel_done, ask_unknown, unhealthy, kinds };
     const auto kind = static_cast<Kind>(random_.below(kinds));
     if (kind == submit_again && !unfinished_.empty()) {
         const auto step = static_cast<std::ptrdiff_t>(random_.below(unfinished_.size()));
--- a/src/emulator/worker.cpp
+++ b/src/emulator/worker.cpp
@@ -116,9 +116,9 @@
     report.type = machine_.type.name;
     report.zone = machine_.zone;
     report.spot = machine_.spot;
-    report.session = session_;
-    report.tick = ++tick_;
-    report.token = token_;
+    report.incarnation = session_;
+    report.heartbeat_sequence = ++tick_;
+    report.fencing_token = fencing_token_;
     if (taken_at_) report.notice_s = std::max(to_seconds(*taken_at_ - true_now()), 0.0);
     report.tasks = runner_.statuses();
     return wire::encode(report_body(report));
@@ -158,9 +158,9 @@
     const auto body = wire::decode(reply.body);
     if (!body) return;
     const CommandBatch batch = parse_commands(*body);
-    if (session_sent != session_ || !batch.token || *batch.token < token_) return;
+    if (session_sent != session_ || !batch.fencing_token || *batch.fencing_token < fencing_token_) return;
     lease_from_ = std::max(lease_from_, sent_at);
-    see_token(*batch.token, now);
+    observe_fencing_token(*batch.fencing_token, now);
     execute(batch);
 }
 
@@ -212,13 +212,13 @@
 // --- commands ---
 
 bool Worker::entitled(const CommandBatch& batch) const {
-    return *batch.token >= token_ && *batch.session == session_;
+    return *batch.fencing_token >= fencing_token_ && *batch.incarnation == session_;
 }
 
-// A higher token is worth a report of its own, but at most once in half a lease.
-void Worker::see_token(std::uint64_t token, Micros now) {
-    if (token <= token_) return;
-    token_ = token;
+// A higher fencing token is worth a report of its own, but at most once in half a lease.
+void Worker::observe_fencing_token(std::uint64_t fencing_token, Micros now) {
+    if (fencing_token <= fencing_token_) return;
+    fencing_token_ = fencing_token;
     if (token_told_at_ != Micros{} && now - token_told_at_ < world_.times.lease / 2) return;
     token_told_at_ = now;
     changed();
@@ -253,7 +253,7 @@
 io::Task<io::HttpResponse> Worker::handle_orders(const io::HttpRequest& request) {
     const auto body = wire::decode(request.body);
     const CommandBatch batch = body ? parse_commands(*body) : CommandBatch{};
-    if (!batch.token || !batch.session) co_return response(bad_request);
+    if (!batch.fencing_token || !batch.incarnation) co_return response(bad_request);
     if (random_.chance(late_commands_.share)) {
         scope_.spawn(execute_late(batch, random_.between(late_commands_.soonest, late_commands_.latest)));
         co_await loop_.sleep(beyond_patience);
@@ -261,7 +261,7 @@
     }
     if (!entitled(batch)) co_return report_response(conflict);
     const Micros now = io::steady_now();
-    see_token(*batch.token, now);
+    observe_fencing_token(*batch.fencing_token, now);
     execute(batch);
     co_return report_response(ok);
 }
@@ -272,7 +272,7 @@
     const Micros now = io::steady_now();
     end_session_if_over(now);
     if (!entitled(batch)) co_return;
-    see_token(*batch.token, now);
+    observe_fencing_token(*batch.fencing_token, now);
     execute(batch);
 }
 
--- a/src/emulator/worker.hpp
+++ b/src/emulator/worker.hpp
@@ -63,8 +63,8 @@
     Worker& operator=(const Worker&) = delete;
 
     const MachineIdentity& machine() const { return machine_; }
-    std::uint64_t session() const { return session_; }
-    std::uint64_t token() const { return token_; }
+    std::uint64_t incarnation() const { return session_; }
+    std::uint64_t fencing_token() const { return fencing_token_; }
     /// Label of the controller that it reports to.
     const std::string& home() const { return world_.nodes[home_].label; }
     std::vector<TaskStatus> tasks() const { return runner_.statuses(); }
@@ -99,7 +99,7 @@
     void try_next(Micros now);
     void copy_report(const std::string& body);
     bool entitled(const CommandBatch& batch) const;
-    void see_token(std::uint64_t token, Micros now);
+    void observe_fencing_token(std::uint64_t fencing_token, Micros now);
     void execute(const CommandBatch& batch);
     void end_session_if_over(Micros now);
     io::HttpResponse report_response(int status);
@@ -121,7 +121,7 @@
 
     std::uint64_t session_ = 1;
     std::uint64_t tick_ = 0;
-    std::uint64_t token_ = 0;
+    std::uint64_t fencing_token_ = 0;
     Micros lease_from_{};  // sending of the last answered report, or the session's beginning
     std::size_t home_ = 0;
     bool report_wanted_ = false;  // something changed since the last report
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "service/service.hpp"
+#include "controller/controller.hpp"
 
 namespace {
 
@@ -58,23 +58,25 @@
     set_up_log();
     try {
         if (config.empty())
-            throw service::SettingsError("--config: found nothing, allowed is the path of a settings file");
-        const auto settings = service::parse_settings(service::read_file(config));
-        const auto props = properties.empty() ? service::Properties{}
-                                              : service::parse_properties(service::read_file(properties));
-        const auto tunables = service::tune(props, settings);
+            throw controller::SettingsError(
+                "--config: found nothing, allowed is the path of a settings file");
+        const auto settings = controller::parse_settings(controller::read_file(config));
+        const auto props = properties.empty()
+                               ? controller::Properties{}
+                               : controller::parse_properties(controller::read_file(properties));
+        const auto tunables = controller::tune(props, settings);
         if (check) {
             std::printf("settings are valid\n");
             return 0;
         }
         ::signal(SIGPIPE, SIG_IGN);
         io::Loop loop;
-        service::Service service{loop, settings, tunables};
+        controller::Controller service{loop, settings, tunables};
         spdlog::info("event=started label={} zone={} version={}", settings.label, settings.zone, kVersion);
         service.start();
         loop.run();
         return 0;
-    } catch (const service::SettingsError& e) {
+    } catch (const controller::SettingsError& e) {
         std::fprintf(stderr, "hatchwind: %s\n", e.what());
         return kBadSettings;
     } catch (const std::exception& e) {
--- a/src/service/cloud_client.cpp
+++ b/src/scaling/cloud_client.cpp
@@ -1,10 +1,10 @@
-#include "service/cloud_client.hpp"
+#include "scaling/cloud_client.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <utility>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -31,8 +31,8 @@
     co_return reply;
 }
 
-void CloudClient::note_malformed(const char* call) {
-    spdlog::warn("event=malformed_answer from=cloud call={} count={}", call, ++malformed_);
+void CloudClient::record_malformed(const char* call) {
+    spdlog::warn("event=malformed_response from=cloud call={} count={}", call, ++malformed_);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/cloud_client.hpp
+++ b/src/scaling/cloud_client.hpp
@@ -3,10 +3,10 @@
 
 #include <string>
 
-#include "service/budget.hpp"
-#include "service/node.hpp"
+#include "cluster/node.hpp"
+#include "store/token_bucket.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 class CloudClient {
   public:
@@ -15,12 +15,12 @@
     // Waits for the budget, then for the reply; status 0: none came in time.
     io::Task<io::HttpReply> call(std::string method, std::string target, std::string body);
     // An answer that can't be read.
-    void note_malformed(const char* call);
+    void record_malformed(const char* call);
 
   private:
     Node& node_;
-    Budget budget_;
+    TokenBucket budget_;
     std::uint64_t malformed_ = 0;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/drain_marks.cpp
+++ b/src/scaling/cordon_record.cpp
@@ -1,8 +1,8 @@
-#include "service/drain_marks.hpp"
+#include "scaling/cordon_record.hpp"
 
 #include <utility>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::Task;
@@ -14,7 +14,7 @@
 
 // Written under larger limits there may be more marks than fit now. Those of machines that are gone leave
 // first; a machine without its mark is used again.
-void DrainMarks::fit_value_limit(std::set<std::string>& machines) const {
+void CordonRecord::fit_value_limit(std::set<std::string>& machines) const {
     std::size_t bytes = wire::names_record(machines).dump().size();
     for (const bool standing : {false, true}) {
         for (auto machine = machines.begin();
@@ -29,20 +29,20 @@
     }
 }
 
-Task<bool> DrainMarks::write(std::set<std::string> machines) {
+Task<bool> CordonRecord::write(std::set<std::string> machines) {
     fit_value_limit(machines);
     // One record for all marks: with one for each machine, giving back hundreds would use up the store's
     // writes.
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.stamp);
-    transaction.conditions.emplace_back(keys::kDraining, node_.draining_stamp);
+    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
+    transaction.conditions.emplace_back(keys::kDraining, node_.draining_mod_revision);
     const wire::Json record = wire::names_record(machines);
     transaction.writes.push_back({keys::kDraining, record, 0});
     auto task = node_.state.commit(std::move(transaction), io::steady_now() + kCommitTime);
     const CommitResult result = co_await std::move(task);
-    if (result.outcome != Commit::done) co_return false;
+    if (result.outcome != CommitOutcome::committed) co_return false;
     replica_.committed({keys::kDraining, record, result.revision});
     co_return true;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/drain_marks.hpp
+++ b/src/scaling/cordon_record.hpp
@@ -4,14 +4,14 @@
 #include <set>
 #include <string>
 
-#include "service/node.hpp"
-#include "service/replica.hpp"
+#include "cluster/node.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class DrainMarks {
+class CordonRecord {
   public:
-    DrainMarks(Node& node, Replica& replica) : node_(node), replica_(replica) {}
+    CordonRecord(Node& node, Replica& replica) : node_(node), replica_(replica) {}
 
     // Replaces all marks; true once that is committed.
     io::Task<bool> write(std::set<std::string> machines);
@@ -23,4 +23,4 @@
     Replica& replica_;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/draining.cpp
+++ b/src/scaling/eviction_controller.cpp
@@ -1,4 +1,4 @@
-#include "service/draining.hpp"
+#include "scaling/eviction_controller.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -17,9 +17,9 @@
 constexpr std::size_t kStopsAssumedPerService = 16;
 constexpr std::size_t kMarkBytes = 4;  // beside the machine's name
 
-std::set<core::TaskRef> open_tasks(const core::Ledger& ledger) {
+std::set<core::TaskRef> open_tasks(const core::JobTable& job_table) {
     std::set<core::TaskRef> open;
-    for (const auto& [id, entry] : ledger.jobs()) {
+    for (const auto& [id, entry] : job_table.jobs()) {
         for (const auto& [index, chunk] : entry.chunks) {
             for (const auto& [task, attempt] : chunk.open) open.insert({id, task});
         }
@@ -30,24 +30,24 @@
 
 // Stops that have no replacement yet: attempts that were open in the last round. A new leader does not know
 // the stops before its time; the jobs' unstarted tasks are the floor for those.
-void Draining::note_stops(Micros now) {
+void EvictionController::record_stops(Micros now) {
     if (was_open_.empty()) {
-        for (const auto& [id, entry] : node_.ledger.jobs()) {
+        for (const auto& [id, entry] : node_.job_table.jobs()) {
             if (entry.job.kind != core::JobKind::service || entry.job.cancelled) continue;
             for (const auto task : core::unstarted_tasks(entry, kStopsAssumedPerService))
                 state_.recent_stops[{id, task}] = now;
         }
     }
-    std::set<core::TaskRef> open = open_tasks(node_.ledger);
+    std::set<core::TaskRef> open = open_tasks(node_.job_table);
     for (const auto& task : was_open_) {
         if (!open.contains(task)) state_.recent_stops[task] = now;
     }
     was_open_ = std::move(open);
 }
 
-core::DrainInput Draining::drain_input(Micros now) const {
+core::DrainInput EvictionController::drain_input(Micros now) const {
     core::DrainInput input;
-    input.ledger = &node_.ledger;
+    input.job_table = &node_.job_table;
     input.cluster_view = &node_.cluster_view;
     input.now = now;
     for (const auto& machine : node_.draining) {
@@ -59,7 +59,7 @@
 }
 
 // Caps grow with the fleet: a handful at a time would take hours to give back what one burst needed.
-core::DrainSettings Draining::drain_settings() const {
+core::DrainSettings EvictionController::drain_settings() const {
     core::DrainSettings settings = node_.tunables.drain;
     const auto fleet = static_cast<double>(node_.cluster_view.machines().size());
     const auto total_share = static_cast<std::size_t>(fleet * node_.tunables.drain_share);
@@ -72,16 +72,16 @@
     return settings;
 }
 
-core::DrainResult Draining::plan(const core::DrainInput& input) {
+core::DrainResult EvictionController::plan(const core::DrainInput& input) {
     return core::plan_drains(drain_settings(), input,
-                             core::FreeCapacity::build(node_.cluster_view, node_.ledger, *node_.catalog,
+                             core::FreeCapacity::build(node_.cluster_view, node_.job_table, *node_.catalog,
                                                        node_.availability(), &node_.free_capacity_cache),
                              state_);
 }
 
-Task<void> Draining::round() {
+Task<void> EvictionController::round() {
     const Micros now = steady_now();
-    note_stops(now);
+    record_stops(now);
     const core::DrainResult result = plan(drain_input(now));
     node_.candidates.clear();
     for (const auto& [machine, since] : state_.candidate_since) node_.candidates.insert(machine);
@@ -90,12 +90,12 @@
     if (chosen.empty()) co_return;
     std::set<std::string> marks = node_.draining;
     for (const auto& machine : chosen) {
-        spdlog::info("event=drain machine={} tasks={}", machine, node_.ledger.on_machine(machine).size());
+        spdlog::info("event=drain machine={} tasks={}", machine, node_.job_table.on_machine(machine).size());
         marks.insert(machine);
     }
-    auto task = marks_.write(std::move(marks));
+    auto task = cordons_.write(std::move(marks));
     co_await std::move(task);
-    node_.work.notify_all();
+    node_.scheduling_needed.notify_all();
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/draining.hpp
+++ b/src/scaling/eviction_controller.hpp
@@ -3,15 +3,15 @@
 
 #include <set>
 
+#include "cluster/node.hpp"
 #include "core/drain_planner.hpp"
-#include "service/drain_marks.hpp"
-#include "service/node.hpp"
+#include "scaling/cordon_record.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class Draining {
+class EvictionController {
   public:
-    Draining(Node& node, DrainMarks& marks) : node_(node), marks_(marks) {}
+    EvictionController(Node& node, CordonRecord& marks) : node_(node), cordons_(marks) {}
 
     // Plans once, and marks what is chosen.
     io::Task<void> round();
@@ -21,15 +21,15 @@
     void pause() { was_open_.clear(); }
 
   private:
-    void note_stops(io::Micros now);
+    void record_stops(io::Micros now);
     core::DrainInput drain_input(io::Micros now) const;
     core::DrainSettings drain_settings() const;
     core::DrainResult plan(const core::DrainInput& input);
 
     Node& node_;
-    DrainMarks& marks_;
+    CordonRecord& cordons_;
     core::DrainState state_;
     std::set<core::TaskRef> was_open_;  // in the last round
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/rental_list.cpp
+++ b/src/scaling/instance_inventory.cpp
@@ -1,11 +1,11 @@
-#include "service/rental_list.hpp"
+#include "scaling/instance_inventory.hpp"
 
 #include <utility>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using core::from_seconds;
-using core::RentalState;
+using core::InstanceState;
 using io::Micros;
 using io::steady_now;
 using io::Task;
@@ -14,7 +14,7 @@
 constexpr Micros kBootTimeUnknown{30'000'000};
 }  // namespace
 
-Task<RentalList::Reading> RentalList::read() {
+Task<InstanceInventory::Reading> InstanceInventory::read() {
     std::string after;
     Reading reading;
     while (true) {
@@ -23,27 +23,27 @@
         auto task = cloud_.call("GET", std::move(target), "");
         const io::HttpReply reply = co_await std::move(task);
         const auto body = reply.status == 200 ? wire::decode(reply.body) : std::nullopt;
-        const auto page = body ? wire::parse_rentals(*body) : std::nullopt;
+        const auto page = body ? wire::parse_instances(*body) : std::nullopt;
         if (!page) {
-            if (reply.status == 200) cloud_.note_malformed("list");
+            if (reply.status == 200) cloud_.record_malformed("list");
             co_return reading;
         }
-        for (const auto& rental : page->rentals) reading.rentals.emplace(rental.machine, rental);
-        if (!page->more || page->rentals.empty()) break;
-        after = page->rentals.back().machine;
+        for (const auto& instance : page->instances) reading.instances.emplace(instance.machine, instance);
+        if (!page->more || page->instances.empty()) break;
+        after = page->instances.back().machine;
     }
     reading.whole = true;
     co_return reading;
 }
 
-void RentalList::take(const Listed& listed) {
+void InstanceInventory::take(const Listed& listed) {
     const Micros now = steady_now();
-    for (const auto& [machine, rental] : listed) {
+    for (const auto& [machine, instance] : listed) {
         if (node_.cluster_view.released(machine)) continue;
-        KnownRental& known = known_[machine];
+        KnownInstance& known = known_[machine];
         if (known.rented.count() == 0)
-            known.rented = now - from_seconds(rental.age_s + node_.settings.list_lag_s);
-        known.rental = rental;
+            known.rented = now - from_seconds(instance.age_s + node_.settings.list_lag_s);
+        known.instance = instance;
         known.seen = now;
         known.listed = true;
     }
@@ -52,8 +52,8 @@
 
 // A list may be older than the one before, but once it has shown a machine it shows it until it is gone. A
 // new one of ours is missing from it for a while.
-bool RentalList::is_gone(const std::string& machine, const KnownRental& known, const Listed& listed,
-                         Micros now) const {
+bool InstanceInventory::is_gone(const std::string& machine, const KnownInstance& known, const Listed& listed,
+                                Micros now) const {
     if (node_.cluster_view.released(machine)) return true;
     if (listed.contains(machine)) return false;
     const double lag_s = node_.settings.list_lag_s;
@@ -61,55 +61,55 @@
     return now - known.rented > from_seconds(lag_s * 4 + 10);
 }
 
-void RentalList::add_rented(const std::string& machine, const core::Pool& pool) {
-    KnownRental& known = known_[machine];
+void InstanceInventory::add_requested(const std::string& machine, const core::InstancePool& pool) {
+    KnownInstance& known = known_[machine];
     known.rented = steady_now();
-    known.rental.machine = machine;
-    known.rental.type = pool.type;
-    known.rental.zone = pool.zone;
-    known.rental.spot = pool.spot;
+    known.instance.machine = machine;
+    known.instance.type = pool.type;
+    known.instance.zone = pool.zone;
+    known.instance.spot = pool.spot;
 }
 
-std::optional<core::Pool> RentalList::remove(const std::string& machine) {
+std::optional<core::InstancePool> InstanceInventory::remove(const std::string& machine) {
     const auto known = known_.find(machine);
     if (known == known_.end()) return std::nullopt;
-    const core::Rental& rental = known->second.rental;
-    const core::Pool pool{rental.type, rental.zone, rental.spot};
+    const core::Instance& instance = known->second.instance;
+    const core::InstancePool pool{instance.type, instance.zone, instance.spot};
     known_.erase(known);
     return pool;
 }
 
-Micros RentalList::boot_time(const KnownRental& known) const {
-    const auto type = node_.catalog->find(known.rental.type);
+Micros InstanceInventory::boot_time(const KnownInstance& known) const {
+    const auto type = node_.catalog->find(known.instance.type);
     return type == node_.catalog->end() ? kBootTimeUnknown : type->second.boot;
 }
 
-bool RentalList::overdue(const KnownRental& known, Micros now) const {
+bool InstanceInventory::overdue(const KnownInstance& known, Micros now) const {
     return now - known.rented > boot_time(known) * 3 + from_seconds(node_.settings.report_s + 5);
 }
 
-bool RentalList::never_came_up(const KnownRental& known, Micros now) const {
+bool InstanceInventory::never_came_up(const KnownInstance& known, Micros now) const {
     return now - known.rented > boot_time(known) * 5 + from_seconds(20);
 }
 
-std::vector<core::Rental> RentalList::booting(Micros now) const {
-    std::vector<core::Rental> booting;
+std::vector<core::Instance> InstanceInventory::booting(Micros now) const {
+    std::vector<core::Instance> booting;
     for (const auto& [machine, known] : known_) {
-        if (node_.cluster_view.find(machine) != nullptr || known.rental.state == RentalState::failed)
+        if (node_.cluster_view.find(machine) != nullptr || known.instance.state == InstanceState::failed)
             continue;
-        if (!overdue(known, now)) booting.push_back(known.rental);
+        if (!overdue(known, now)) booting.push_back(known.instance);
     }
     return booting;
 }
 
-std::vector<std::string> RentalList::failed(Micros now, bool long_term) const {
+std::vector<std::string> InstanceInventory::failed(Micros now, bool long_term) const {
     std::vector<std::string> failed;
     for (const auto& [machine, known] : known_) {
         const bool in_view = node_.cluster_view.find(machine) != nullptr;
         const bool absent = !in_view && long_term && never_came_up(known, now);
-        if (known.rental.state == RentalState::failed || absent) failed.push_back(machine);
+        if (known.instance.state == InstanceState::failed || absent) failed.push_back(machine);
     }
     return failed;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
