--- a/src/service/give_back.cpp
+++ b/src/scaling/scale_in.cpp
@@ -1,4 +1,4 @@
-#include "service/give_back.hpp"
+#include "scaling/scale_in.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 
 #include "core/failure_detection.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using core::from_seconds;
 using io::Micros;
@@ -26,10 +26,10 @@
 constexpr Micros kMarksKept{10'000'000};
 }  // namespace
 
-std::vector<std::string> GiveBack::due(Micros now, Micros term_began) {
+std::vector<std::string> ScaleIn::due(Micros now, Micros term_began) {
     std::vector<std::string> due;
     add_drained(due, now);
-    const auto failed = rentals_.failed(now, now - term_began > kLongTerm);
+    const auto failed = inventory_.failed(now, now - term_began > kLongTerm);
     due.insert(due.end(), failed.begin(), failed.end());
     add_silent(due, now, term_began);
     std::sort(due.begin(), due.end());
@@ -38,10 +38,10 @@
     return due;
 }
 
-void GiveBack::add_drained(std::vector<std::string>& due, Micros now) {
+void ScaleIn::add_drained(std::vector<std::string>& due, Micros now) {
     for (const auto& machine : node_.draining) {
         if (node_.cluster_view.released(machine) || node_.cluster_view.find(machine) == nullptr) continue;
-        if (!node_.ledger.on_machine(machine).empty()) {
+        if (!node_.job_table.on_machine(machine).empty()) {
             emptied_.erase(machine);
             continue;
         }
@@ -50,45 +50,45 @@
     }
 }
 
-Micros GiveBack::silent_for(const std::string& machine, const core::MachineView& view, Micros now) const {
+Micros ScaleIn::silent_for(const std::string& machine, const core::MachineView& view, Micros now) const {
     const Micros silent = now - view.changed;
     // One that only sends is as good as silent: nothing can be started or stopped on it.
-    const auto suspect = node_.suspects.find(machine);
-    if (!node_.fit || suspect == node_.suspects.end() || suspect->second.since.count() == 0) return silent;
+    const auto suspect = node_.probes.find(machine);
+    if (!node_.healthy || suspect == node_.probes.end() || suspect->second.since.count() == 0) return silent;
     return std::max(silent, now - suspect->second.since);
 }
 
-void GiveBack::add_silent(std::vector<std::string>& due, Micros now, Micros term_began) {
+void ScaleIn::add_silent(std::vector<std::string>& due, Micros now, Micros term_began) {
     std::vector<core::SilentMachine> machines;
     for (const auto& [machine, view] : node_.cluster_view.machines()) {
         // Not before this leader has had the time to hear them all.
         const Micros silent = std::min(silent_for(machine, view, now), now - term_began);
-        machines.push_back({machine, silent, !node_.ledger.on_machine(machine).empty()});
+        machines.push_back({machine, silent, !node_.job_table.on_machine(machine).empty()});
     }
     std::erase_if(silent_released_, [&](Micros at) { return now - at > kSilentReleaseSpan; });
     const auto silent = core::releasable(machines, node_.tunables.silent_release, silent_released_.size());
     if (silent.empty()) return;
-    spdlog::info("event=silent_machines count={} standing={}", silent.size(), machines.size());
+    spdlog::info("event=unresponsive_machines_released count={} standing={}", silent.size(), machines.size());
     due.insert(due.end(), silent.begin(), silent.end());
     silent_released_.insert(silent_released_.end(), silent.size(), now);
 }
 
-Task<void> GiveBack::clear_marks(Micros now, Micros term_began, bool list_fresh) {
+Task<void> ScaleIn::clear_marks(Micros now, Micros term_began, bool list_fresh) {
     const bool list_settled =
         list_fresh && now - term_began > from_seconds(node_.settings.list_lag_s * 2 + 10);
     std::set<std::string> marks = node_.draining;
     std::erase_if(marks, [&](const std::string& machine) {
         if (node_.cluster_view.released(machine)) return true;
-        return node_.cluster_view.find(machine) == nullptr && list_settled && !rentals_.contains(machine);
+        return node_.cluster_view.find(machine) == nullptr && list_settled && !inventory_.contains(machine);
     });
     std::erase_if(emptied_, [&](const auto& emptied) { return !marks.contains(emptied.first); });
     const std::size_t gone = node_.draining.size() - marks.size();
     const bool worth_a_write = gone >= kMarksWorthAWrite || now - marks_cleared_ > kMarksKept;
     if (gone == 0 || !worth_a_write) co_return;
-    if (!node_.leads() || !node_.state.reachable(steady_now())) co_return;
+    if (!node_.is_cluster_leader() || !node_.state.reachable(steady_now())) co_return;
     marks_cleared_ = now;
-    auto task = marks_.write(std::move(marks));
+    auto task = cordons_.write(std::move(marks));
     co_await std::move(task);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/give_back.hpp
+++ b/src/scaling/scale_in.hpp
@@ -6,16 +6,16 @@
 #include <string>
 #include <vector>
 
-#include "service/drain_marks.hpp"
-#include "service/node.hpp"
-#include "service/rental_list.hpp"
+#include "cluster/node.hpp"
+#include "scaling/cordon_record.hpp"
+#include "scaling/instance_inventory.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class GiveBack {
+class ScaleIn {
   public:
-    GiveBack(Node& node, const RentalList& rentals, DrainMarks& marks)
-        : node_(node), rentals_(rentals), marks_(marks) {}
+    ScaleIn(Node& node, const InstanceInventory& instances, CordonRecord& marks)
+        : node_(node), inventory_(instances), cordons_(marks) {}
 
     // What is to be given back now; `term_began`: since when this node leads.
     std::vector<std::string> due(io::Micros now, io::Micros term_began);
@@ -29,11 +29,11 @@
     io::Micros silent_for(const std::string& machine, const core::MachineView& view, io::Micros now) const;
 
     Node& node_;
-    const RentalList& rentals_;
-    DrainMarks& marks_;
+    const InstanceInventory& inventory_;
+    CordonRecord& cordons_;
     std::map<std::string, io::Micros> emptied_;  // draining machines without tasks: since when; steady
     std::vector<io::Micros> silent_released_;    // when, within the last minute; steady
     io::Micros marks_cleared_{0};                // steady: when that was last done
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/renting.cpp
+++ b/src/scaling/scale_out.cpp
@@ -1,4 +1,4 @@
-#include "service/renting.hpp"
+#include "scaling/scale_out.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 
 #include "wire/messages.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using core::from_seconds;
 using io::Micros;
@@ -25,22 +25,22 @@
 constexpr double kKindsOfMachine = 2;  // spot and ordinary
 }  // namespace
 
-core::FleetInput Renting::fleet_input(Micros now) const {
-    core::FleetInput input;
-    input.ledger = &node_.ledger;
+core::ScaleOutInput ScaleOut::scale_out_input(Micros now) const {
+    core::ScaleOutInput input;
+    input.job_table = &node_.job_table;
     input.cluster_view = &node_.cluster_view;
     input.catalog = &*node_.catalog;
     input.teams = &node_.settings.teams;
     input.objectives = &node_.settings.objectives;
     input.now = now;
-    input.wall = io::wall_now();
+    input.wall_clock_now = io::wall_now();
     input.refused_until = refused_until_;
-    input.booting = rentals_.booting(now);
+    input.booting = inventory_.booting(now);
     return input;
 }
 
-core::FleetSettings Renting::fleet_settings() const {
-    core::FleetSettings settings = node_.tunables.fleet;
+core::ScaleOutSettings ScaleOut::scale_out_settings() const {
+    core::ScaleOutSettings settings = node_.tunables.fleet;
     // As many as can be asked for in some seconds.
     const auto fleet = static_cast<double>(node_.cluster_view.machines().size());
     settings.most_per_round = std::max<std::size_t>(
@@ -48,30 +48,31 @@
     return settings;
 }
 
-Task<void> Renting::round() {
+Task<void> ScaleOut::round() {
     const Micros now = steady_now();
-    core::FleetInput input = fleet_input(now);
-    const auto pipelines = core::PipelineSchedule::build(node_.ledger, node_.settings.objectives, input.wall);
+    core::ScaleOutInput input = scale_out_input(now);
+    const auto pipelines =
+        core::PipelineSchedule::build(node_.job_table, node_.settings.objectives, input.wall_clock_now);
     input.pipelines = &pipelines;
     const auto wanted =
-        core::plan_rentals(fleet_settings(), input,
-                           core::FreeCapacity::build(node_.cluster_view, node_.ledger, *node_.catalog,
-                                                     node_.availability(), &node_.free_capacity_cache));
+        core::plan_scale_out(scale_out_settings(), input,
+                             core::FreeCapacity::build(node_.cluster_view, node_.job_table, *node_.catalog,
+                                                       node_.availability(), &node_.free_capacity_cache));
     last_plan_ = std::min(steady_now() - now, kPlanCounted);
     for (const auto& [pool, number] : wanted) {
-        if (!node_.leads()) break;
+        if (!node_.is_cluster_leader()) break;
         auto task = rent_from(pool, number);
         co_await std::move(task);
     }
 }
 
-// Never used twice, by any life of any node: the grant names this life.
-std::string Renting::next_request() {
-    return "hw-" + std::to_string(node_.epoch.number) + "-" + std::to_string(node_.self.grant) + "-" +
+// Never used twice, by any life of any node: the store lease names this life.
+std::string ScaleOut::next_request() {
+    return "hw-" + std::to_string(node_.epoch.number) + "-" + std::to_string(node_.self.store_lease) + "-" +
            std::to_string(++request_);
 }
 
-Task<void> Renting::rent_from(core::Pool pool, unsigned number) {
+Task<void> ScaleOut::rent_from(core::InstancePool pool, unsigned number) {
     const std::string request = next_request();
     const auto body = wire::encode(
         wire::rent_request(request, pool.type, pool.zone, pool.spot, std::min(number, kMostPerRequest)));
@@ -84,26 +85,26 @@
     }
 }
 
-void Renting::take_reply(const core::Pool& pool, unsigned number, const io::HttpReply& reply) {
+void ScaleOut::take_reply(const core::InstancePool& pool, unsigned number, const io::HttpReply& reply) {
     const auto body = reply.status == 200 ? wire::decode(reply.body) : std::nullopt;
     const auto machines = body ? wire::parse_rented(*body) : std::nullopt;
     if (machines) {
-        for (const auto& machine : *machines) rentals_.add_rented(machine, pool);
-        spdlog::info("event=rented type={} zone={} spot={} wanted={} got={}", pool.type, pool.zone, pool.spot,
-                     number, machines->size());
+        for (const auto& machine : *machines) inventory_.add_requested(machine, pool);
+        spdlog::info("event=instances_requested type={} zone={} spot={} wanted={} got={}", pool.type,
+                     pool.zone, pool.spot, number, machines->size());
     }
     if (machines && machines->size() >= std::min(number, kMostPerRequest)) {
         refusals_.erase(pool);
         return;
     }
     back_off(pool);
-    if (reply.status == 200 && !machines) cloud_.note_malformed("rent");
+    if (reply.status == 200 && !machines) cloud_.record_malformed("rent");
 }
 
 // Nothing left there, or an outage: asked again ever more seldom, but so often that all pools together take a
 // tenth of the cloud's calls. After many machines were lost, back-offs of 40 s kept the fleet small for a
 // minute.
-void Renting::back_off(const core::Pool& pool) {
+void ScaleOut::back_off(const core::InstancePool& pool) {
     double pools = 0;
     for (const auto& [name, type] : *node_.catalog)
         pools += kKindsOfMachine * static_cast<double>(type.zones.size());
@@ -114,9 +115,9 @@
         steady_now() + from_seconds(std::min(kBackoffSeconds * (1 << doublings), longest_s));
 }
 
-void Renting::pool_freed(const core::Pool& pool) {
+void ScaleOut::pool_freed(const core::InstancePool& pool) {
     refused_until_.erase(pool);
     refusals_.erase(pool);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/leader.cpp
+++ b/src/scaling/scaling_controller.cpp
@@ -1,11 +1,11 @@
-#include "service/leader.hpp"
+#include "scaling/scaling_controller.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using core::from_seconds;
 using io::Micros;
@@ -28,47 +28,47 @@
 constexpr Micros kGiveBackInterval{500'000};
 }  // namespace
 
-Task<void> Leader::keep_catalog() {
+Task<void> ScalingController::keep_catalog() {
     while (true) {
         auto task = read_catalog();
         co_await std::move(task);
         // Types hardly change and prices move slowly; without a first answer nothing can be decided.
-        const Micros interval = node_.leads() ? kCatalogIntervalLeading : kCatalogInterval;
+        const Micros interval = node_.is_cluster_leader() ? kCatalogIntervalLeading : kCatalogInterval;
         co_await node_.loop.sleep(node_.catalog ? interval : kCatalogRetry);
     }
 }
 
-Task<void> Leader::read_catalog() {
+Task<void> ScalingController::read_catalog() {
     auto task = cloud_.call("GET", "/catalog", "");
     const io::HttpReply reply = co_await std::move(task);
     if (reply.status != 200) co_return;
     const auto body = wire::decode(reply.body);
     auto catalog = body ? wire::parse_catalog(*body) : std::nullopt;
     if (!catalog || catalog->empty()) {
-        cloud_.note_malformed("catalog");
+        cloud_.record_malformed("catalog");
         co_return;
     }
     node_.catalog = std::move(catalog);
-    node_.work.notify_all();
-    node_.fleet_work.notify_all();
+    node_.scheduling_needed.notify_all();
+    node_.scaling_needed.notify_all();
 }
 
-void Leader::start_term() {
-    rentals_.clear();
-    draining_.start_term();
+void ScalingController::start_term() {
+    inventory_.clear();
+    evictions_.start_term();
     term_began_ = steady_now();
 }
 
-void Leader::note_epoch() {
+void ScalingController::record_epoch() {
     if (epoch_ == node_.epoch.number) return;
     if (epoch_ == 0 || steady_now() - term_began_ > kLongSinceLed) term_began_ = steady_now();
     epoch_ = node_.epoch.number;
 }
 
-Task<void> Leader::keep_list() {
+Task<void> ScalingController::keep_list() {
     bool led = false;
     while (true) {
-        if (!node_.leads()) {
+        if (!node_.is_cluster_leader()) {
             led = false;
             list_fresh_ = false;
             co_await node_.loop.sleep(kNotLeadingPause);
@@ -78,7 +78,7 @@
             led = true;
             start_term();
         }
-        note_epoch();
+        record_epoch();
         auto task = read_list();
         const std::size_t listed = co_await std::move(task);
         // A long list takes several calls, and its reading a while.
@@ -87,45 +87,45 @@
     }
 }
 
-Task<std::size_t> Leader::read_list() {
-    auto task = rentals_.read();
-    const RentalList::Reading reading = co_await std::move(task);
-    if (!reading.whole) co_return reading.rentals.size();
-    rentals_.take(reading.rentals);
+Task<std::size_t> ScalingController::read_list() {
+    auto task = inventory_.read();
+    const InstanceInventory::Reading reading = co_await std::move(task);
+    if (!reading.whole) co_return reading.instances.size();
+    inventory_.take(reading.instances);
     // The cloud ignores names it does not know, and its answer makes their end certain.
     auto releasing = release_in_batches(vanished_machines());
     co_await std::move(releasing);
     list_fresh_ = true;
-    node_.fleet_work.notify_all();
-    co_return reading.rentals.size();
+    node_.scaling_needed.notify_all();
+    co_return reading.instances.size();
 }
 
 // Spot machines that the cloud took: shown before, not shown now, and silent.
-std::vector<std::string> Leader::vanished_machines() const {
+std::vector<std::string> ScalingController::vanished_machines() const {
     const Micros now = steady_now();
     const Micros settled = from_seconds(node_.settings.list_lag_s * 2 + 5);
     std::vector<std::string> vanished;
     if (now - term_began_ <= settled) return vanished;
     for (const auto& [machine, view] : node_.cluster_view.machines()) {
-        if (!rentals_.contains(machine) && now - view.changed > settled) vanished.push_back(machine);
+        if (!inventory_.contains(machine) && now - view.changed > settled) vanished.push_back(machine);
     }
     return vanished;
 }
 
-Task<void> Leader::rent() {
+Task<void> ScalingController::scale_out() {
     while (true) {
-        co_await node_.fleet_work.wait(steady_now() + kRentInterval);
+        co_await node_.scaling_needed.wait(steady_now() + kRentInterval);
         // Planning is a twentieth of a node's time at the most: machines take much longer to boot.
-        co_await node_.loop.sleep(std::max(kRentPause, kRentPauseInPlans * renting_.last_plan()));
+        co_await node_.loop.sleep(std::max(kRentPause, kRentPauseInPlans * scale_out_.last_plan()));
         // Without a list of this term, what an earlier leader rented would be rented again.
-        if (!node_.leads() || !node_.catalog || !list_fresh_) continue;
-        auto round = renting_.round();
+        if (!node_.is_cluster_leader() || !node_.catalog || !list_fresh_) continue;
+        auto round = scale_out_.round();
         co_await std::move(round);
     }
 }
 
 // Half a second of the cloud's calls at the most: what is left shows again with the next list.
-Task<void> Leader::release_in_batches(std::vector<std::string> machines) {
+Task<void> ScalingController::release_in_batches(std::vector<std::string> machines) {
     const auto most_calls = std::max<std::size_t>(1, static_cast<std::size_t>(node_.settings.cloud_rps / 2));
     for (std::size_t call = 0; call < most_calls && !machines.empty(); ++call) {
         const std::size_t left = machines.size() - std::min(machines.size(), kMostReleased);
@@ -137,48 +137,48 @@
     }
 }
 
-Task<bool> Leader::release(std::vector<std::string> machines) {
+Task<bool> ScalingController::release(std::vector<std::string> machines) {
     if (machines.empty()) co_return true;
     auto task = cloud_.call("POST", "/rentals/release", wire::encode(wire::release_request(machines)));
     const io::HttpReply reply = co_await std::move(task);
     if (reply.status != 200) co_return false;
     for (const auto& machine : machines) {
-        spdlog::info("event=released machine={}", machine);
-        node_.note_released(machine);
-        const auto pool = rentals_.remove(machine);
-        if (pool) renting_.pool_freed(*pool);
+        spdlog::info("event=machine_released machine={}", machine);
+        node_.record_released(machine);
+        const auto pool = inventory_.remove(machine);
+        if (pool) scale_out_.pool_freed(*pool);
     }
     co_return true;
 }
 
-Task<void> Leader::drain() {
+Task<void> ScalingController::drain() {
     while (true) {
         co_await node_.loop.sleep(node_.tunables.drain_loop);
-        if (!node_.leads() || !node_.catalog || !node_.state.reachable(steady_now())) {
-            draining_.pause();
+        if (!node_.is_cluster_leader() || !node_.catalog || !node_.state.reachable(steady_now())) {
+            evictions_.pause();
             continue;
         }
-        auto round = draining_.round();
+        auto round = evictions_.round();
         co_await std::move(round);
     }
 }
 
-Task<void> Leader::give_back() {
+Task<void> ScalingController::scale_in() {
     while (true) {
         co_await node_.loop.sleep(kGiveBackInterval);
-        if (!node_.leads() || !node_.catalog) {
-            give_back_.pause();
+        if (!node_.is_cluster_leader() || !node_.catalog) {
+            scale_in_.pause();
             continue;
         }
         const Micros now = steady_now();
-        std::vector<std::string> due = give_back_.due(now, term_began_);
+        std::vector<std::string> due = scale_in_.due(now, term_began_);
         if (!due.empty()) {
             auto released = release(std::move(due));
             co_await std::move(released);
         }
-        auto cleared = give_back_.clear_marks(now, term_began_, list_fresh_);
+        auto cleared = scale_in_.clear_marks(now, term_began_, list_fresh_);
         co_await std::move(cleared);
     }
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/leader.hpp
+++ b/src/scaling/scaling_controller.hpp
@@ -1,37 +1,37 @@
-// The leader's duty: the cloud. These are the loops; the list of rentals, renting, drains and giving back are
-// modules of their own.
+// The leader's duty: the cloud. These are the loops; the list of instances, renting, drains and giving back
+// are modules of their own.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "service/cloud_client.hpp"
-#include "service/drain_marks.hpp"
-#include "service/draining.hpp"
-#include "service/give_back.hpp"
-#include "service/node.hpp"
-#include "service/rental_list.hpp"
-#include "service/renting.hpp"
-#include "service/replica.hpp"
+#include "cluster/node.hpp"
+#include "scaling/cloud_client.hpp"
+#include "scaling/cordon_record.hpp"
+#include "scaling/eviction_controller.hpp"
+#include "scaling/instance_inventory.hpp"
+#include "scaling/scale_in.hpp"
+#include "scaling/scale_out.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class Leader {
+class ScalingController {
   public:
-    Leader(Node& node, Replica& replica)
+    ScalingController(Node& node, Replica& replica)
         : node_(node),
           cloud_(node),
-          rentals_(node, cloud_),
-          renting_(node, cloud_, rentals_),
-          marks_(node, replica),
-          draining_(node, marks_),
-          give_back_(node, rentals_, marks_) {}
+          inventory_(node, cloud_),
+          scale_out_(node, cloud_, inventory_),
+          cordons_(node, replica),
+          evictions_(node, cordons_),
+          scale_in_(node, inventory_, cordons_) {}
     // Every node needs the machine types, for submissions too.
     io::Task<void> keep_catalog();
     io::Task<void> keep_list();
-    io::Task<void> rent();
+    io::Task<void> scale_out();
     io::Task<void> drain();
-    io::Task<void> give_back();
+    io::Task<void> scale_in();
     // Gives machines back to the cloud; true once it has confirmed that they are gone. Any node may call it.
     io::Task<bool> release(std::vector<std::string> machines);
 
@@ -42,18 +42,18 @@
     std::vector<std::string> vanished_machines() const;
     io::Task<void> release_in_batches(std::vector<std::string> machines);
     void start_term();
-    void note_epoch();
+    void record_epoch();
 
     Node& node_;
     CloudClient cloud_;
-    RentalList rentals_;
-    Renting renting_;
-    DrainMarks marks_;
-    Draining draining_;
-    GiveBack give_back_;
+    InstanceInventory inventory_;
+    ScaleOut scale_out_;
+    CordonRecord cordons_;
+    EvictionController evictions_;
+    ScaleIn scale_in_;
     std::uint64_t epoch_ = 0;   // that this node last led in
     io::Micros term_began_{0};  // steady: since when it leads, over epochs that follow one another
     bool list_fresh_ = false;   // the cloud's list was read in this term
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/attempt_page_split.cpp
+++ b/src/scheduling/attempt_page_split.cpp
@@ -1,10 +1,10 @@
-#include "service/attempt_page_split.hpp"
+#include "scheduling/attempt_page_split.hpp"
 
 #include <algorithm>
 
 #include "wire/messages.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 namespace {
 constexpr std::size_t kPageFrame = 8;   // {"c":{}} and the value's own braces
@@ -46,4 +46,4 @@
     return parts;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/attempt_page_split.hpp
+++ b/src/scheduling/attempt_page_split.hpp
@@ -1,12 +1,12 @@
-// Keeps attempt pages below the state service's value limit, also those that were written under a larger one.
+// Keeps attempt pages below the store's value limit, also those that were written under a larger one.
 #pragma once
 
 #include <map>
 #include <vector>
 
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 // What one page records. The chunks are the caller's.
 using PageContent = std::map<core::ChunkKey, const core::Chunk*>;
@@ -24,4 +24,4 @@
 // page no longer names unless another page has brought them at the same revision.
 std::vector<PageContent> split_page(const PageContent& content, std::size_t limit, std::size_t most);
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -1,14 +1,14 @@
-#include "service/attempt_page_writer.hpp"
+#include "scheduling/attempt_page_writer.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "service/page_assignment.hpp"
-#include "service/replica.hpp"
+#include "scheduling/page_assignment.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 
@@ -59,12 +59,12 @@
 // The end state replaces the job's record in one step. What its pages say of it leaves with their next
 // writes.
 WriteUnit AttemptPageWriter::finish_unit(const std::string& job, StagedRecords& staged) const {
-    const core::JobEntry& entry = *node_.ledger.find(job);
+    const core::JobEntry& entry = *node_.job_table.find(job);
     const auto status = entry.job.cancelled ? wire::JobStatus::cancelled : wire::JobStatus::done;
     WriteUnit unit;
     unit.rank = WriteRank::urgent;
     unit.bytes = kFinishBytes;
-    unit.conditions.emplace_back(keys::job(job), entry.stamp);
+    unit.conditions.emplace_back(keys::job(job), entry.mod_revision);
     unit.effects.push_back({keys::job(job), std::nullopt, 0});
     std::uint32_t done = 0;
     for (const auto& [index, chunk] : entry.chunks) {
@@ -83,10 +83,10 @@
 
 PageContent AttemptPageWriter::known_content(const core::AttemptPageKey& page, const JobSet& ending) const {
     PageContent content;
-    const auto known = node_.ledger.pages().find(page);
-    if (known == node_.ledger.pages().end()) return content;
+    const auto known = node_.job_table.pages().find(page);
+    if (known == node_.job_table.pages().end()) return content;
     for (const auto& chunk : known->second.chunks) {
-        const core::JobEntry* entry = node_.ledger.find(chunk.first);
+        const core::JobEntry* entry = node_.job_table.find(chunk.first);
         if (entry == nullptr || ending.contains(chunk.first)) continue;
         content[chunk] = &entry->chunks.at(chunk.second);
     }
@@ -98,9 +98,10 @@
                                        const JobSet& ending, Micros now, PageKeys& taken) {
     WriteUnit unit;
     unit.rank = WriteRank::lowest;
-    const auto known = node_.ledger.pages().find(page);
-    const core::Stamp stamp = known == node_.ledger.pages().end() ? 0 : known->second.stamp;
-    unit.conditions.emplace_back(keys::page(page), stamp);
+    const auto known = node_.job_table.pages().find(page);
+    const core::Revision mod_revision =
+        known == node_.job_table.pages().end() ? 0 : known->second.mod_revision;
+    unit.conditions.emplace_back(keys::page(page), mod_revision);
     PageContent content = known_content(page, ending);
     // Of those that a transaction may have, some are left to the epoch and to the parts of a page that is
     // split.
@@ -131,7 +132,7 @@
     unit.effects.push_back({keys::page(page), wire::page_record(parts.front()), 0});
     core::AttemptPageKey fresh{page.first, 1};
     for (std::size_t i = 1; i < parts.size(); ++i) {
-        while (taken.contains(fresh) || node_.ledger.pages().contains(fresh)) ++fresh.second;
+        while (taken.contains(fresh) || node_.job_table.pages().contains(fresh)) ++fresh.second;
         taken.insert(fresh);
         unit.conditions.emplace_back(keys::page(fresh), 0);
         unit.effects.push_back({keys::page(fresh), wire::page_record(parts[i]), 0});
@@ -140,12 +141,12 @@
 
 void AttemptPageWriter::add_chunk(WriteUnit& unit, const core::ChunkKey& key, const ChunkRecord& record,
                                   Micros now) {
-    const core::JobEntry& entry = *node_.ledger.find(key.first);
+    const core::JobEntry& entry = *node_.job_table.find(key.first);
     const bool production = entry.job.priority == core::Priority::production;
     unit.rank = std::min(unit.rank, rank_of(key, record, production, now));
     if (!record.started.empty()) {
         // A cancel that comes first must keep the start from being recorded; and so must the job's end.
-        const std::pair<std::string, core::Stamp> condition{keys::job(key.first), entry.stamp};
+        const std::pair<std::string, core::Revision> condition{keys::job(key.first), entry.mod_revision};
         if (unit.conditions.back() != condition) unit.conditions.push_back(condition);
     }
     unit.chunks.push_back(key);
@@ -156,22 +157,22 @@
 WriteRank AttemptPageWriter::rank_of(const core::ChunkKey& key, const ChunkRecord& record, bool production,
                                      Micros now) {
     if (!record.started.empty()) return production ? WriteRank::production : WriteRank::start;
-    // Ends of tasks alone are told by the worker until they are reaped. They wait for company, since each
-    // write of a page counts the same however much it says.
+    // Ends of tasks alone are told by the worker until they are acknowledged. They wait for company, since
+    // each write of a page counts the same however much it says.
     const Micros waited = now - waiting_since_.try_emplace(key, now).first->second;
     if (record.urgent) return production ? WriteRank::production : WriteRank::urgent;
     if (waited <= kCompletionsWait) return WriteRank::completion;
     const bool overdue =
-        waited > kCompletionsWaitAtMost || near_limit(node_.ledger.find(key.first)->job.team);
+        waited > kCompletionsWaitAtMost || near_limit(node_.job_table.find(key.first)->job.team);
     return overdue ? WriteRank::overdue_completion : WriteRank::due_completion;
 }
 
 bool AttemptPageWriter::near_limit(const std::string& team) const {
     const auto limits = node_.settings.teams.find(team);
     if (limits == node_.settings.teams.end()) return false;
-    const core::Amount use = node_.ledger.team_use(team);
+    const core::Resources use = node_.job_table.team_use(team);
     return use.cpus > limits->second.cpus_max * kNearLimit ||
            (use.gpus > 0 && use.gpus > limits->second.gpus_max * kNearLimit);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/attempt_page_writer.hpp
+++ b/src/scheduling/attempt_page_writer.hpp
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "service/attempt_page_split.hpp"
-#include "service/node.hpp"
-#include "service/staged_records.hpp"
-#include "service/write_unit.hpp"
+#include "cluster/node.hpp"
+#include "scheduling/attempt_page_split.hpp"
+#include "scheduling/staged_records.hpp"
+#include "scheduling/write_unit.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 class AttemptPageWriter {
   public:
@@ -31,7 +31,7 @@
     WriteUnit finish_unit(const std::string& job, StagedRecords& staged) const;
     WriteUnit page_unit(const core::AttemptPageKey& page, const std::vector<core::ChunkKey>& chunks,
                         const StagedRecords& staged, const JobSet& ending, io::Micros now, PageKeys& taken);
-    // The write of a page; in parts if it is larger than the state service takes by now. `taken`: pages that
+    // The write of a page; in parts if it is larger than the store takes by now. `taken`: pages that
     // are written in this pass.
     void add_page(WriteUnit& unit, const core::AttemptPageKey& page, const PageContent& content,
                   PageKeys& taken) const;
@@ -47,4 +47,4 @@
     std::map<core::ChunkKey, io::Micros> waiting_since_;  // completions that wait for company; steady
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/attempt_settlement.cpp
+++ b/src/scheduling/attempt_reconciler.cpp
@@ -1,13 +1,13 @@
-#include "service/attempt_settlement.hpp"
+#include "scheduling/attempt_reconciler.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
+using core::AttemptStatus;
 using core::ExitCause;
-using core::Fate;
 using core::TaskState;
 using io::Micros;
 using io::steady_now;
@@ -39,20 +39,20 @@
 }
 }  // namespace
 
-void AttemptSettlement::settle(StagedRecords& staged) {
+void AttemptReconciler::reconcile(StagedRecords& staged) {
     // A node without a team has nobody's tasks to look after.
     if (!owns_a_team()) return;
-    settle_machines(staged);
-    settle_cancelled(staged);
+    reconcile_machines(staged);
+    reconcile_cancelled(staged);
     find_finished(staged);
 }
 
-bool AttemptSettlement::owns_a_team() const {
-    return std::any_of(node_.epoch.owners.begin(), node_.epoch.owners.end(),
+bool AttemptReconciler::owns_a_team() const {
+    return std::any_of(node_.epoch.shard_owners.begin(), node_.epoch.shard_owners.end(),
                        [&](const auto& owner) { return owner.second == node_.self.label; });
 }
 
-AttemptSettlement::MachineState AttemptSettlement::look_at(const core::MachineView* view, Micros now) const {
+AttemptReconciler::MachineState AttemptReconciler::look_at(const core::MachineView* view, Micros now) const {
     // Whatever its last report said of its tasks: when many machines fall silent at once nobody releases
     // them, and what ran on them has ended with their leases. One that reports has a lease.
     const double quiet_s = std::max(kLeastQuietSeconds, node_.settings.report_s * kQuietReports);
@@ -60,66 +60,66 @@
     return {view, quiet, now};
 }
 
-bool AttemptSettlement::leaving(const core::MachineView& view, const std::string& machine) const {
+bool AttemptReconciler::leaving(const core::MachineView& view, const std::string& machine) const {
     return view.notice_until || node_.draining.contains(machine);
 }
 
-bool AttemptSettlement::still_calm(const SettledMachine* before, const SettledMachine& now,
-                                   const MachineState& state) const {
-    if (before == nullptr || !before->calm) return false;
-    const bool unchanged = before->session == now.session && before->content_tick == now.content_tick &&
-                           before->version == now.version;
+bool AttemptReconciler::still_unchanged(const ReconciledMachine* before, const ReconciledMachine& now,
+                                        const MachineState& state) const {
+    if (before == nullptr || !before->unchanged) return false;
+    const bool unchanged = before->incarnation == now.incarnation &&
+                           before->content_sequence == now.content_sequence && before->version == now.version;
     return unchanged && !state.quiet && !leaving(*state.view, now.machine);
 }
 
-void AttemptSettlement::settle_machines(StagedRecords& staged) {
+void AttemptReconciler::reconcile_machines(StagedRecords& staged) {
     const Micros time = steady_now();
-    const auto& recorded_machines = node_.ledger.by_machine();
-    spare_settled_.clear();
-    spare_settled_.reserve(recorded_machines.size());
+    const auto& recorded_machines = node_.job_table.by_machine();
+    spare_reconciled_.clear();
+    spare_reconciled_.reserve(recorded_machines.size());
     auto view = node_.cluster_view.machines().begin();
     const auto views_end = node_.cluster_view.machines().end();
-    auto old = settled_.cbegin();
-    // ClusterView, ledger and the last pass are in the order of the machines' names.
+    auto old = reconciled_.cbegin();
+    // ClusterView, job table and the last pass are in the order of the machines' names.
     for (const auto& [id, recorded] : recorded_machines) {
         while (view != views_end && view->first < id) ++view;
-        while (old != settled_.cend() && old->machine < id) ++old;
+        while (old != reconciled_.cend() && old->machine < id) ++old;
         const bool known = view != views_end && view->first == id;
         const MachineState state = look_at(known ? &view->second : nullptr, time);
-        SettledMachine now{id, 0, 0, recorded.version, false};
+        ReconciledMachine now{id, 0, 0, recorded.version, false};
         if (known) {
-            now.session = view->second.last.session;
-            now.content_tick = view->second.content_tick;
-            const bool settled_before = old != settled_.cend() && old->machine == id;
-            now.calm = still_calm(settled_before ? &*old : nullptr, now, state);
+            now.incarnation = view->second.last_heartbeat.incarnation;
+            now.content_sequence = view->second.content_sequence;
+            const bool settled_before = old != reconciled_.cend() && old->machine == id;
+            now.unchanged = still_unchanged(settled_before ? &*old : nullptr, now, state);
         }
-        if (!now.calm) now.calm = settle_machine(staged, id, recorded.tasks, state) && known;
-        spare_settled_.push_back(std::move(now));
+        if (!now.unchanged) now.unchanged = reconcile_machine(staged, id, recorded.tasks, state) && known;
+        spare_reconciled_.push_back(std::move(now));
     }
-    std::swap(settled_, spare_settled_);
+    std::swap(reconciled_, spare_reconciled_);
 }
 
-bool AttemptSettlement::settle_machine(StagedRecords& staged, const std::string& machine,
-                                       const core::HeldTasks& tasks, const MachineState& state) {
-    bool calm = true;
+bool AttemptReconciler::reconcile_machine(StagedRecords& staged, const std::string& machine,
+                                          const core::RecordedAttempts& tasks, const MachineState& state) {
+    bool unchanged = true;
     const core::JobEntry* last = nullptr;
     bool ours = false;
     for (const auto& [task, held] : tasks) {
         // One machine's tasks are in the order of their jobs.
         if (held.entry != last) {
             last = held.entry;
-            ours = node_.owns(last->job.team) && !last->job.cancelled;
+            ours = node_.owns_shard(last->job.team) && !last->job.cancelled;
         }
         if (!ours) continue;
-        const core::Attempt attempt{held.number, machine, held.session};
-        if (!settle_attempt(staged, {*last, task.task, attempt}, state)) calm = false;
+        const core::Attempt attempt{held.number, machine, held.incarnation};
+        if (!settle_attempt(staged, {*last, task.task, attempt}, state)) unchanged = false;
     }
-    return calm;
+    return unchanged;
 }
 
-void AttemptSettlement::settle_cancelled(StagedRecords& staged) {
-    for (const auto& [id, entry] : node_.ledger.jobs()) {
-        if (!entry.job.cancelled || entry.open == 0 || !node_.owns(entry.job.team)) continue;
+void AttemptReconciler::reconcile_cancelled(StagedRecords& staged) {
+    for (const auto& [id, entry] : node_.job_table.jobs()) {
+        if (!entry.job.cancelled || entry.open == 0 || !node_.owns_shard(entry.job.team)) continue;
         for (const auto& [index, chunk] : entry.chunks) {
             for (const auto& [task, attempt] : chunk.open) {
                 const MachineState state = look_at(node_.cluster_view.find(attempt.machine), steady_now());
@@ -129,9 +129,9 @@
     }
 }
 
-void AttemptSettlement::find_finished(StagedRecords& staged) const {
-    for (const auto& [id, entry] : node_.ledger.jobs()) {
-        if (!node_.owns(entry.job.team)) continue;
+void AttemptReconciler::find_finished(StagedRecords& staged) const {
+    for (const auto& [id, entry] : node_.job_table.jobs()) {
+        if (!node_.owns_shard(entry.job.team)) continue;
         std::uint32_t done = entry.done;
         std::uint32_t open = entry.open;
         auto record = staged.chunks.lower_bound({id, 0});
@@ -144,58 +144,58 @@
     }
 }
 
-bool AttemptSettlement::settle_attempt(StagedRecords& staged, const OpenAttempt& open,
+bool AttemptReconciler::settle_attempt(StagedRecords& staged, const OpenAttempt& open,
                                        const MachineState& state) {
     const core::Attempt& attempt = open.attempt;
     const auto view =
         state.view == nullptr
             ? core::view_attempt(node_.cluster_view, open.job(), open.task, attempt)
-            : core::view_attempt(*state.view, open.job(), open.task, attempt.number, attempt.session);
-    const bool ended = view.fate == Fate::exited || view.fate == Fate::gone;
-    if (state.quiet && !ended && node_.lease_over(attempt.machine, attempt.session, io::wall_now())) {
-        spdlog::info("event=lease_over job={} task={} machine={}", open.job(), open.task, attempt.machine);
+            : core::view_attempt(*state.view, open.job(), open.task, attempt.number, attempt.incarnation);
+    const bool ended = view.status == AttemptStatus::exited || view.status == AttemptStatus::gone;
+    if (state.quiet && !ended && node_.lease_expired(attempt.machine, attempt.incarnation, io::wall_now())) {
+        spdlog::info("event=lease_expired job={} task={} machine={}", open.job(), open.task, attempt.machine);
         staged.close(open, false);
         return false;
     }
-    switch (view.fate) {
-        case Fate::exited:
+    switch (view.status) {
+        case AttemptStatus::exited:
             settle_exited(staged, open, view.cause);
             return false;
-        case Fate::gone:
+        case AttemptStatus::gone:
             staged.close(open, false);
             return false;
-        case Fate::silent:
+        case AttemptStatus::silent:
             return false;
-        case Fate::unlisted:
+        case AttemptStatus::unlisted:
             settle_unlisted(staged, open, state);
             return false;
-        case Fate::live:
+        case AttemptStatus::live:
             break;
     }
     return settle_live(open, state, view.state);
 }
 
-void AttemptSettlement::settle_exited(StagedRecords& staged, const OpenAttempt& open, ExitCause cause) {
-    failures_.note_exit(open, cause);
+void AttemptReconciler::settle_exited(StagedRecords& staged, const OpenAttempt& open, ExitCause cause) {
+    failure_backoff_.record_exit(open, cause);
     // A service is never done.
     staged.close(open, cause == ExitCause::done && open.entry.job.kind != core::JobKind::service);
 }
 
-void AttemptSettlement::settle_unlisted(StagedRecords& staged, const OpenAttempt& open,
+void AttemptReconciler::settle_unlisted(StagedRecords& staged, const OpenAttempt& open,
                                         const MachineState& state) {
     if (!open.entry.job.cancelled) {
         dispatch_.repeat_start(open, state.now);
         return;
     }
-    // Not started, and nothing of it under way under any token that the worker still takes.
-    if (!dispatch_.start_pending(open) && state.view->last.token >= node_.epoch.number) {
+    // Not started, and nothing of it under way under any fencing token that the worker still takes.
+    if (!dispatch_.start_pending(open) && state.view->last_heartbeat.fencing_token >= node_.epoch.number) {
         staged.close(open, false);
     } else {
         dispatch_.stop_unlisted(open, state.now);
     }
 }
 
-bool AttemptSettlement::settle_live(const OpenAttempt& open, const MachineState& state, TaskState task) {
+bool AttemptReconciler::settle_live(const OpenAttempt& open, const MachineState& state, TaskState task) {
     if (open.entry.job.cancelled) {
         dispatch_.stop(open, 0, kResendStop);
         return false;
@@ -210,20 +210,20 @@
 }
 
 // The cloud takes the machine: save at the last moment that surely suffices; what cannot save runs on.
-void AttemptSettlement::save_before_notice(const OpenAttempt& open, Micros time_left, TaskState task) {
+void AttemptReconciler::save_before_notice(const OpenAttempt& open, Micros time_left, TaskState task) {
     const core::Job& job = open.entry.job;
-    const Micros need = core::from_seconds(job.save_s + kNoticeMarginSeconds);
-    if (saves_as_it_goes(job, task) && time_left < need)
+    const Micros resources = core::from_seconds(job.save_s + kNoticeMarginSeconds);
+    if (saves_as_it_goes(job, task) && time_left < resources)
         dispatch_.stop(open, job.save_s + kSaveMarginSeconds, kResendSavingStop);
     if (task == TaskState::fetching) dispatch_.stop(open, 0, kResendStop);
 }
 
 // Draining: what saves is moved, services are moved, plain tasks may finish what they have done.
-void AttemptSettlement::move_off(const OpenAttempt& open, TaskState task) {
+void AttemptReconciler::move_off(const OpenAttempt& open, TaskState task) {
     const core::Job& job = open.entry.job;
     if (saves_as_it_goes(job, task)) dispatch_.stop(open, job.save_s + kSaveMarginSeconds, kResendSavingStop);
     if (job.kind == core::JobKind::service || task == TaskState::fetching)
         dispatch_.stop(open, 0, kResendStop);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/attempt_settlement.hpp
+++ b/src/scheduling/attempt_reconciler.hpp
@@ -5,22 +5,22 @@
 #include <string>
 #include <vector>
 
-#include "service/failure_records.hpp"
-#include "service/node.hpp"
-#include "service/open_attempt.hpp"
-#include "service/order_dispatch.hpp"
-#include "service/staged_records.hpp"
+#include "cluster/node.hpp"
+#include "scheduling/command_dispatcher.hpp"
+#include "scheduling/failure_backoff.hpp"
+#include "scheduling/open_attempt.hpp"
+#include "scheduling/staged_records.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class AttemptSettlement {
+class AttemptReconciler {
   public:
-    AttemptSettlement(Node& node, OrderDispatch& dispatch, FailureRecords& failures)
-        : node_(node), dispatch_(dispatch), failures_(failures) {}
+    AttemptReconciler(Node& node, CommandDispatcher& dispatch, FailureBackoff& failures)
+        : node_(node), dispatch_(dispatch), failure_backoff_(failures) {}
 
-    // Stages the ends of this owner's attempts, and its jobs that are over with them.
-    void settle(StagedRecords& staged);
-    void start_epoch() { settled_.clear(); }
+    // Stages the ends of this shard owner's attempts, and its jobs that are over with them.
+    void reconcile(StagedRecords& staged);
+    void start_epoch() { reconciled_.clear(); }
 
   private:
     // What is the same for all attempts on one machine.
@@ -30,24 +30,25 @@
         io::Micros now{0};                        // steady
     };
     // A machine with recorded attempts, as the last pass left it.
-    struct SettledMachine {
+    struct ReconciledMachine {
         std::string machine;
-        std::uint64_t session = 0;
-        std::uint64_t content_tick = 0;
+        std::uint64_t incarnation = 0;
+        std::uint64_t content_sequence = 0;
         std::uint64_t version = 0;
-        bool calm = false;  // nothing to do before one of these changes
+        bool unchanged = false;  // nothing to do before one of these changes
     };
 
     MachineState look_at(const core::MachineView* view, io::Micros now) const;
     bool owns_a_team() const;
     bool leaving(const core::MachineView& view, const std::string& machine) const;
 
-    void settle_machines(StagedRecords& staged);
-    bool still_calm(const SettledMachine* before, const SettledMachine& now, const MachineState& state) const;
+    void reconcile_machines(StagedRecords& staged);
+    bool still_unchanged(const ReconciledMachine* before, const ReconciledMachine& now,
+                         const MachineState& state) const;
     // True when there is nothing to do for the machine before something of it changes.
-    bool settle_machine(StagedRecords& staged, const std::string& machine, const core::HeldTasks& tasks,
-                        const MachineState& state);
-    void settle_cancelled(StagedRecords& staged);
+    bool reconcile_machine(StagedRecords& staged, const std::string& machine,
+                           const core::RecordedAttempts& tasks, const MachineState& state);
+    void reconcile_cancelled(StagedRecords& staged);
     void find_finished(StagedRecords& staged) const;
 
     // True when there is nothing to do for it before its machine, its record or its job changes.
@@ -59,11 +60,11 @@
     void move_off(const OpenAttempt& open, core::TaskState task);
 
     Node& node_;
-    OrderDispatch& dispatch_;
-    FailureRecords& failures_;
+    CommandDispatcher& dispatch_;
+    FailureBackoff& failure_backoff_;
     // In order: most are as they were, and looking at every attempt in every pass took half of a node's time.
-    std::vector<SettledMachine> settled_;
-    std::vector<SettledMachine> spare_settled_;  // its memory serves the next pass
+    std::vector<ReconciledMachine> reconciled_;
+    std::vector<ReconciledMachine> spare_reconciled_;  // its memory serves the next pass
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/cancel_enforcement.cpp
+++ b/src/scheduling/cancellation_enforcer.cpp
@@ -1,12 +1,12 @@
-#include "service/cancel_enforcement.hpp"
+#include "scheduling/cancellation_enforcer.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-using core::Fate;
+using core::AttemptStatus;
 using io::Micros;
 using io::steady_now;
 using io::Task;
@@ -24,50 +24,52 @@
 constexpr std::size_t kReleasedAtOnce = 100;  // what one call to the cloud may name
 }  // namespace
 
-Micros CancelEnforcement::share_of_limit(double share) const {
+Micros CancellationEnforcer::share_of_limit(double share) const {
     return Micros{static_cast<std::int64_t>(node_.settings.cancel_s * share * 1e6)};
 }
 
-std::vector<CancelEnforcement::Remaining> CancelEnforcement::remaining() const {
+std::vector<CancellationEnforcer::Remaining> CancellationEnforcer::remaining() const {
     std::vector<Remaining> tasks;
-    const Micros wall = io::wall_now();
-    for (const auto& [id, entry] : node_.ledger.jobs()) {
+    const Micros wall_clock_now = io::wall_now();
+    for (const auto& [id, entry] : node_.job_table.jobs()) {
         if (!entry.job.cancelled || entry.open == 0) continue;
-        const bool owned = node_.acting() && node_.owns(entry.job.team);
+        const bool owned = node_.holds_leadership() && node_.owns_shard(entry.job.team);
         for (const auto& [index, chunk] : entry.chunks) {
             for (const auto& [task, attempt] : chunk.open) {
                 const auto view = core::view_attempt(node_.cluster_view, id, task, attempt);
-                if (view.fate == Fate::exited || view.fate == Fate::gone) continue;
-                tasks.push_back({{id, task}, attempt, view.fate, wall - entry.job.cancelled_at, owned});
+                if (view.status == AttemptStatus::exited || view.status == AttemptStatus::gone) continue;
+                tasks.push_back(
+                    {{id, task}, attempt, view.status, wall_clock_now - entry.job.cancelled_at, owned});
             }
         }
     }
     return tasks;
 }
 
-void CancelEnforcement::stop_listed(const std::vector<Remaining>& tasks) {
-    if (!node_.acting()) return;
+void CancellationEnforcer::stop_listed(const std::vector<Remaining>& tasks) {
+    if (!node_.holds_leadership()) return;
     const Micros now = steady_now();
     std::erase_if(stopped_at_, [&](const auto& stop) { return now - stop.second > kRepeatStop; });
-    for (const auto& [ref, attempt, fate, cancelled_for, owned_here] : tasks) {
-        if (owned_here || fate != Fate::live || cancelled_for < kOwnerGoesFirst) continue;
+    for (const auto& [ref, attempt, status, cancelled_for, owned_here] : tasks) {
+        if (owned_here || status != AttemptStatus::live || cancelled_for < kOwnerGoesFirst) continue;
         if (!stopped_at_.emplace(ref, now).second) continue;
-        spdlog::debug("event=stop_for_owner job={} task={} machine={}", ref.job, ref.task, attempt.machine);
-        workers_.order(attempt.machine, attempt.session,
-                       {core::OrderKind::stop, ref.job, ref.task, attempt.number, 0});
+        spdlog::debug("event=cancelled_task_stopped job={} task={} machine={}", ref.job, ref.task,
+                      attempt.machine);
+        workers_.enqueue(attempt.machine, attempt.incarnation,
+                         {core::CommandKind::stop, ref.job, ref.task, attempt.number, 0});
     }
 }
 
-std::vector<std::string> CancelEnforcement::overdue_machines(const std::vector<Remaining>& tasks) {
+std::vector<std::string> CancellationEnforcer::overdue_machines(const std::vector<Remaining>& tasks) {
     std::vector<std::string> machines;
-    for (const auto& [ref, attempt, fate, cancelled_for, owned_here] : tasks) {
+    for (const auto& [ref, attempt, status, cancelled_for, owned_here] : tasks) {
         // An old view of the machine is no reason to give it back: asking it brings a new one.
         if (cancelled_for > share_of_limit(kAskMachineShare) &&
             node_.cluster_view.find(attempt.machine) != nullptr) {
-            node_.suspects.try_emplace(attempt.machine);
+            node_.probes.try_emplace(attempt.machine);
         }
         // A task that its machine does not list may just not have started: its owner is at it for longer.
-        const bool first = node_.leads() && fate != Fate::unlisted;
+        const bool first = node_.is_cluster_leader() && status != AttemptStatus::unlisted;
         if (cancelled_for > share_of_limit(first ? kLeaderReleasesShare : kAnyoneReleasesShare)) {
             machines.push_back(attempt.machine);
         }
@@ -78,18 +80,19 @@
     return machines;
 }
 
-Task<void> CancelEnforcement::run() {
+Task<void> CancellationEnforcer::run() {
     while (true) {
         co_await node_.loop.sleep(kInterval);
-        if (!node_.synced) continue;
+        if (!node_.replica_loaded) continue;
         const std::vector<Remaining> tasks = remaining();
         stop_listed(tasks);
         std::vector<std::string> machines = overdue_machines(tasks);
         if (machines.empty()) continue;
-        spdlog::info("event=cancel_overdue machines={} leads={}", machines.size(), node_.leads());
-        auto release = leader_.release(std::move(machines));
+        spdlog::info("event=cancellation_overdue machines={} leads={}", machines.size(),
+                     node_.is_cluster_leader());
+        auto release = scaling_.release(std::move(machines));
         co_await std::move(release);
     }
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/cancel_enforcement.hpp
+++ b/src/scheduling/cancellation_enforcer.hpp
@@ -1,25 +1,25 @@
 // Sees to it that the tasks of cancelled jobs end in time when the job's owner cannot.
 //
-// An owner may be unable to see the state service, to act at all, or to reach a machine for longer than a
+// An owner may be unable to see the store, to act at all, or to reach a machine for longer than a
 // cancellation may take. Stopping a cancelled task needs no record, so every node that knows the cancellation
 // and may act stops what it sees running; and giving a machine back to the cloud ends its tasks for certain,
-// so any node may do that for one which stays silent, in an outage of the state service too.
+// so any node may do that for one which stays silent, in an outage of the store too.
 #pragma once
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "service/leader.hpp"
-#include "service/node.hpp"
-#include "service/workers.hpp"
+#include "cluster/node.hpp"
+#include "scaling/scaling_controller.hpp"
+#include "workers/worker_gateway.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class CancelEnforcement {
+class CancellationEnforcer {
   public:
-    CancelEnforcement(Node& node, Workers& workers, Leader& leader)
-        : node_(node), workers_(workers), leader_(leader) {}
+    CancellationEnforcer(Node& node, WorkerGateway& workers, ScalingController& leader)
+        : node_(node), workers_(workers), scaling_(leader) {}
     // Runs for as long as the node lives.
     io::Task<void> run();
 
@@ -28,7 +28,7 @@
     struct Remaining {
         core::TaskRef task;
         core::Attempt attempt;
-        core::Fate fate = core::Fate::silent;
+        core::AttemptStatus status = core::AttemptStatus::silent;
         io::Micros cancelled_for{0};
         bool owned_here = false;
     };
@@ -39,9 +39,9 @@
     io::Micros share_of_limit(double share) const;
 
     Node& node_;
-    Workers& workers_;
-    Leader& leader_;
+    WorkerGateway& workers_;
+    ScalingController& scaling_;
     std::map<core::TaskRef, io::Micros> stopped_at_;  // steady: when this node last stopped a task of others
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/dependencies.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -1,10 +1,10 @@
-#include "service/dependencies.hpp"
+#include "scheduling/dependency_reconciler.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -27,38 +27,39 @@
 constexpr std::size_t kMostCancelGroups = 8;
 }  // namespace
 
-bool Dependencies::acts_for(const core::Job& job) const {
-    const auto owner = node_.epoch.owners.find(job.team_once_released);
-    return owner == node_.epoch.owners.end() ? node_.leads() : owner->second == node_.self.label;
+bool DependencyReconciler::acts_for(const core::Job& job) const {
+    const auto owner = node_.epoch.shard_owners.find(job.team_once_released);
+    return owner == node_.epoch.shard_owners.end() ? node_.is_cluster_leader()
+                                                   : owner->second == node_.self.label;
 }
 
-Dependencies::Step Dependencies::release(const core::JobEntry& entry) const {
+DependencyReconciler::Step DependencyReconciler::release(const core::JobEntry& entry) const {
     core::Job job = entry.job;
     job.team = std::move(job.team_once_released);
     job.team_once_released.clear();
-    job.awaits.clear();
-    job.await_list.clear();
-    job.await_parts = 0;
+    job.dependencies.clear();
+    job.dependency_list.clear();
+    job.dependency_parts = 0;
     // All times but the deadline count from the release; the deadline stays where it is.
     const Micros now = io::wall_now();
     if (job.deadline_s) *job.deadline_s -= std::chrono::duration<double>(now - job.accepted).count();
     job.accepted = now;
     wire::Json record = wire::job_record(job);
     const std::size_t bytes = record.dump().size() + kStepOverhead;
-    return {job.id, entry.stamp, {{keys::job(job.id), std::move(record), 0}}, std::nullopt, bytes};
+    return {job.id, entry.mod_revision, {{keys::job(job.id), std::move(record), 0}}, std::nullopt, bytes};
 }
 
-Dependencies::Step Dependencies::cancel(const core::JobEntry& entry) {
+DependencyReconciler::Step DependencyReconciler::cancel(const core::JobEntry& entry) {
     return {entry.job.id,
-            entry.stamp,
+            entry.mod_revision,
             {{keys::job(entry.job.id), std::nullopt, 0}},
             FinalState{wire::JobStatus::cancelled, 0},
             kStepOverhead};
 }
 
-wire::Transaction Dependencies::next_group(const std::vector<Step>& steps, std::size_t& next) const {
+wire::Transaction DependencyReconciler::next_group(const std::vector<Step>& steps, std::size_t& next) const {
     wire::Transaction t;
-    t.conditions.emplace_back(keys::kEpoch, node_.epoch.stamp);
+    t.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
     const std::size_t first = next;
     std::size_t bytes = 0;
     for (; next < steps.size(); ++next) {
@@ -67,7 +68,7 @@
         bytes += step.bytes;
         const bool full = t.writes.size() + writes > node_.settings.txn_ops || bytes > kTransactionBytes;
         if (full && next != first) break;
-        t.conditions.emplace_back(keys::job(step.job), step.stamp);
+        t.conditions.emplace_back(keys::job(step.job), step.mod_revision);
         for (const auto& effect : step.effects) t.writes.push_back({effect.key, effect.value, 0});
         if (!step.final_state) continue;
         wire::Json record = wire::final_record(step.final_state->status, step.final_state->done);
@@ -76,18 +77,18 @@
     return t;
 }
 
-void Dependencies::carried_out(Step& step, core::Stamp revision) {
-    if (const core::JobEntry* entry = node_.ledger.find(step.job)) {
+void DependencyReconciler::carried_out(Step& step, core::Revision revision) {
+    if (const core::JobEntry* entry = node_.job_table.find(step.job)) {
         const Micros waited = io::wall_now() - entry->job.accepted;
         spdlog::debug("event={} job={} class={} waited_ms={}",
                       step.final_state ? "waiting_job_cancelled" : "waiting_job_released", step.job,
                       entry->job.job_class, waited.count() / kMicrosPerMilli);
     }
     replica_.committed(step.effects, revision);
-    if (step.final_state) finals_.note(step.job, *step.final_state);
+    if (step.final_state) final_states_.note(step.job, *step.final_state);
 }
 
-Task<bool> Dependencies::commit(std::vector<Step> steps, std::size_t groups, Urgency urgency) {
+Task<bool> DependencyReconciler::commit(std::vector<Step> steps, std::size_t groups, Urgency urgency) {
     std::size_t next = 0;
     for (std::size_t group = 0; group < groups && next < steps.size(); ++group) {
         const std::size_t first = next;
@@ -96,42 +97,42 @@
         auto task = node_.state.commit(std::move(t), steady_now() + kCommitDeadline,
                                        CommitPriority{urgency == Urgency::release, std::nullopt});
         const CommitResult r = co_await std::move(task);
-        if (r.outcome == Commit::conflict) {
+        if (r.outcome == CommitOutcome::conflict) {
             // Written by somebody else, by an earlier copy of this transaction, or cancelled meanwhile.
-            auto reach = replica_.reach_conflict(conditions, r, steady_now() + kReadDeadline);
-            co_await std::move(reach);
+            auto wait_for_revision = replica_.wait_for_conflict(conditions, r, steady_now() + kReadDeadline);
+            co_await std::move(wait_for_revision);
         }
         // Without an answer it may be carried out at any time: it then does what the next pass would do, and
         // the conditions leave only one of them.
-        if (r.outcome != Commit::done) co_return false;
+        if (r.outcome != CommitOutcome::committed) co_return false;
         for (std::size_t i = first; i < next; ++i) carried_out(steps[i], r.revision);
-        node_.work.notify_all();
-        node_.fleet_work.notify_all();
+        node_.scheduling_needed.notify_all();
+        node_.scaling_needed.notify_all();
     }
     co_return true;
 }
 
-Task<bool> Dependencies::read_endings(std::vector<std::string> jobs) {
+Task<bool> DependencyReconciler::read_terminal_states(std::vector<std::string> jobs) {
     if (jobs.size() > kEndingsOfOnePass) jobs.resize(kEndingsOfOnePass);
-    core::Stamp revision = 0;
-    auto reading = finals_.read_all(std::move(jobs), revision, steady_now() + kReadDeadline);
+    core::Revision revision = 0;
+    auto reading = final_states_.read_all(std::move(jobs), revision, steady_now() + kReadDeadline);
     const bool read = co_await std::move(reading);
     co_return read;
 }
 
-Task<bool> Dependencies::reconcile() {
+Task<bool> DependencyReconciler::reconcile() {
     const Micros began = steady_now();
     const auto plan = core::plan_dependencies(
-        node_.ledger, [this](const std::string& job) { return finals_.ending(job); },
+        node_.job_table, [this](const std::string& job) { return final_states_.ending(job); },
         [this](const core::Job& job) { return acts_for(job); });
     planning_took_ = steady_now() - began;
     std::vector<Step> releases;
-    for (const auto& id : plan.release) releases.push_back(release(*node_.ledger.find(id)));
-    std::vector<Step> cancels;
-    for (const auto& id : plan.cancel) cancels.push_back(cancel(*node_.ledger.find(id)));
-    if (!releases.empty() || !cancels.empty())
-        spdlog::debug("event=dependencies releases={} cancels={} unknown={}", releases.size(), cancels.size(),
-                      plan.unknown_endings.size());
+    for (const auto& id : plan.release) releases.push_back(release(*node_.job_table.find(id)));
+    std::vector<Step> cancellations;
+    for (const auto& id : plan.cancel) cancellations.push_back(cancel(*node_.job_table.find(id)));
+    if (!releases.empty() || !cancellations.empty())
+        spdlog::debug("event=dependencies releases={} cancels={} unknown={}", releases.size(),
+                      cancellations.size(), plan.unknown_terminal_states.size());
     bool ok = true;
     bool news = false;
     if (!releases.empty()) {
@@ -139,48 +140,48 @@
         auto task = commit(std::move(releases), groups, Urgency::release);
         ok = co_await std::move(task);
     }
-    if (ok && !plan.unknown_endings.empty()) {
-        auto reading = read_endings(plan.unknown_endings);
+    if (ok && !plan.unknown_terminal_states.empty()) {
+        auto reading = read_terminal_states(plan.unknown_terminal_states);
         ok = co_await std::move(reading);
-        for (const auto& id : plan.unknown_endings) news = news || finals_.known(id) != nullptr;
+        for (const auto& id : plan.unknown_terminal_states) news = news || final_states_.known(id) != nullptr;
     }
-    if (ok && !cancels.empty()) {
+    if (ok && !cancellations.empty()) {
         const double spare = std::max(0.0, node_.state.spare_writes());
         const auto affordable = static_cast<std::size_t>(spare) / node_.settings.txn_ops;
         const std::size_t groups = std::clamp(affordable, kLeastCancelGroups, kMostCancelGroups);
-        auto task = commit(std::move(cancels), groups, Urgency::cancel);
+        auto task = commit(std::move(cancellations), groups, Urgency::cancel);
         ok = co_await std::move(task);
     }
     if (!ok) co_await node_.loop.sleep(kAfterFailure);
     co_return news;
 }
 
-std::vector<std::string> Dependencies::jobs_with_old_lists() const {
+std::vector<std::string> DependencyReconciler::jobs_with_old_lists() const {
     std::vector<std::string> jobs;
-    for (const auto& [job, parts] : node_.ledger.await_parts()) {
-        const core::JobEntry* entry = node_.ledger.find(job);
+    for (const auto& [job, parts] : node_.job_table.dependency_parts()) {
+        const core::JobEntry* entry = node_.job_table.find(job);
         if (entry == nullptr || !entry->job.waiting()) jobs.push_back(job);
     }
     return jobs;
 }
 
-Task<void> Dependencies::remove_lists() {
+Task<void> DependencyReconciler::remove_lists() {
     std::vector<std::string> unknown = jobs_with_old_lists();
     if (unknown.empty()) co_return;
     // The list of a submission that is being taken is written before the job: without a record of the job
     // only its final state tells that the list has served.
-    std::erase_if(unknown, [&](const std::string& id) { return node_.ledger.find(id) != nullptr; });
-    auto reading = read_endings(unknown);
+    std::erase_if(unknown, [&](const std::string& id) { return node_.job_table.find(id) != nullptr; });
+    auto reading = read_terminal_states(unknown);
     const bool read = co_await std::move(reading);
     if (!read) co_return;
     wire::Transaction t;
     std::vector<wire::StoreItem> effects;
-    t.conditions.emplace_back(keys::kEpoch, node_.epoch.stamp);
+    t.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
     for (const auto& job : jobs_with_old_lists()) {
-        if (node_.ledger.find(job) == nullptr && finals_.known(job) == nullptr) continue;
-        for (const auto& [part, ids] : node_.ledger.await_parts().at(job)) {
+        if (node_.job_table.find(job) == nullptr && final_states_.known(job) == nullptr) continue;
+        for (const auto& [part, ids] : node_.job_table.dependency_parts().at(job)) {
             if (t.writes.size() >= node_.settings.txn_ops) break;
-            const std::string key = keys::await_part(job, part.first, part.second);
+            const std::string key = keys::dependency_part(job, part.first, part.second);
             t.writes.push_back({key, std::nullopt, 0});
             effects.push_back({key, std::nullopt, 0});
         }
@@ -188,26 +189,26 @@
     if (effects.empty()) co_return;
     auto task = node_.state.commit(std::move(t), steady_now() + kCommitDeadline);
     const CommitResult r = co_await std::move(task);
-    if (r.outcome != Commit::done) co_return;
+    if (r.outcome != CommitOutcome::committed) co_return;
     replica_.committed(effects, r.revision);
 }
 
-Task<void> Dependencies::run() {
+Task<void> DependencyReconciler::run() {
     bool again = false;
     while (true) {
-        if (!std::exchange(again, false)) co_await node_.advanced.wait(steady_now() + kInterval);
+        if (!std::exchange(again, false)) co_await node_.replica_advanced.wait(steady_now() + kInterval);
         // A pass that takes long on this machine leaves most of the time to others.
         co_await node_.loop.sleep(std::max(kGap, 9 * planning_took_));
-        if (!node_.acting() || !node_.state.reachable(steady_now())) continue;
-        if (!node_.ledger.waiting().empty()) {
+        if (!node_.holds_leadership() || !node_.state.reachable(steady_now())) continue;
+        if (!node_.job_table.waiting().empty()) {
             auto pass = reconcile();
             again = co_await std::move(pass);
         }
-        if (!node_.leads() || steady_now() - last_removal_ < kRemoveListsEvery) continue;
+        if (!node_.is_cluster_leader() || steady_now() - last_removal_ < kRemoveListsEvery) continue;
         last_removal_ = steady_now();
         auto removal = remove_lists();
         co_await std::move(removal);
     }
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/dependencies.hpp
+++ b/src/scheduling/dependency_reconciler.hpp
@@ -3,24 +3,24 @@
 // written, so whoever owns a team next carries on, and every step may be repeated.
 #pragma once
 
-#include "service/final_state_reader.hpp"
-#include "service/node.hpp"
-#include "service/replica.hpp"
+#include "cluster/node.hpp"
+#include "store/final_state_reader.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class Dependencies {
+class DependencyReconciler {
   public:
-    Dependencies(Node& node, Replica& replica, FinalStateReader& finals)
-        : node_(node), replica_(replica), finals_(finals) {}
+    DependencyReconciler(Node& node, Replica& replica, FinalStateReader& final_states)
+        : node_(node), replica_(replica), final_states_(final_states) {}
     io::Task<void> run();
 
   private:
     // What is written together or not at all.
     struct Step {
         std::string job;
-        core::Stamp stamp = 0;                  // of the job's record, which must be unchanged
-        std::vector<wire::StoreItem> effects;   // written, and then part of the copy
+        core::Revision mod_revision = 0;        // of the job's record, which must be unchanged
+        std::vector<wire::StoreItem> effects;   // written, and then part of the replica
         std::optional<FinalState> final_state;  // written
         std::size_t bytes = 0;
     };
@@ -28,12 +28,12 @@
     bool acts_for(const core::Job& job) const;
     // True when it has learned something that another pass may act on.
     io::Task<bool> reconcile();
-    io::Task<bool> read_endings(std::vector<std::string> jobs);
+    io::Task<bool> read_terminal_states(std::vector<std::string> jobs);
     Step release(const core::JobEntry& entry) const;
     static Step cancel(const core::JobEntry& entry);
     // The next group commit of as many steps as it takes.
     wire::Transaction next_group(const std::vector<Step>& steps, std::size_t& next) const;
-    void carried_out(Step& step, core::Stamp revision);
+    void carried_out(Step& step, core::Revision revision);
     // A pipeline's deadline runs while a release waits for its write; users are told of a cancellation before
     // it is written.
     enum class Urgency : std::uint8_t { release, cancel };
@@ -45,9 +45,9 @@
 
     Node& node_;
     Replica& replica_;
-    FinalStateReader& finals_;
+    FinalStateReader& final_states_;
     io::Micros planning_took_{0};  // in the last pass
     io::Micros last_removal_{0};
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/failure_records.cpp
+++ b/src/scheduling/failure_backoff.cpp
@@ -1,4 +1,4 @@
-#include "service/failure_records.hpp"
+#include "scheduling/failure_backoff.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 
 #include "core/failure_detection.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using core::ExitCause;
 using io::Micros;
@@ -18,9 +18,9 @@
 constexpr int kErrorsCounted = 6;
 }  // namespace
 
-void FailureRecords::note_exit(const OpenAttempt& open, ExitCause cause) {
+void FailureBackoff::record_exit(const OpenAttempt& open, ExitCause cause) {
     const Micros now = io::steady_now();
-    FailureRecord& machine = machines_[open.attempt.machine];
+    BackoffState& machine = machines_[open.attempt.machine];
     switch (cause) {
         case ExitCause::done:
             machines_.erase(open.attempt.machine);
@@ -39,7 +39,7 @@
             jobs_[open.job()].until = now + kUnknownBackoff;
             break;
         case ExitCause::error:
-            note_error(open, machine, now);
+            record_error(open, machine, now);
             break;
         default:
             break;
@@ -48,8 +48,8 @@
 
 // A faulty machine fails many jobs' tasks, a job with a mistake fails on many machines: both are tried ever
 // more seldom, and neither stops the other for long.
-void FailureRecords::note_error(const OpenAttempt& open, FailureRecord& machine, Micros now) {
-    FailureRecord& job = jobs_[open.job()];
+void FailureBackoff::record_error(const OpenAttempt& open, BackoffState& machine, Micros now) {
+    BackoffState& job = jobs_[open.job()];
     job.errors = std::min(job.errors + 1, kErrorsCounted);
     job.others.insert(open.attempt.machine);
     if (job.others.size() >= 2) job.until = now + core::job_backoff(job.errors);
@@ -62,13 +62,13 @@
                  open.attempt.machine, job.errors, machine.errors);
 }
 
-std::map<std::string, Micros> FailureRecords::job_backoff() const {
+std::map<std::string, Micros> FailureBackoff::job_backoff() const {
     std::map<std::string, Micros> backoff;
     for (const auto& [job, record] : jobs_) backoff[job] = record.until;
     return backoff;
 }
 
-std::map<std::string, Micros> FailureRecords::machine_backoff(Micros now) const {
+std::map<std::string, Micros> FailureBackoff::machine_backoff(Micros now) const {
     std::map<std::string, Micros> backoff;
     for (const auto& [machine, record] : machines_) {
         if (record.until > now) backoff[machine] = record.until;
@@ -76,10 +76,10 @@
     return backoff;
 }
 
-void FailureRecords::forget_gone() {
-    std::erase_if(jobs_, [&](const auto& job) { return node_.ledger.find(job.first) == nullptr; });
+void FailureBackoff::forget_gone() {
+    std::erase_if(jobs_, [&](const auto& job) { return node_.job_table.find(job.first) == nullptr; });
     std::erase_if(machines_,
                   [&](const auto& machine) { return node_.cluster_view.find(machine.first) == nullptr; });
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/failure_records.hpp
+++ b/src/scheduling/failure_backoff.hpp
@@ -5,16 +5,16 @@
 #include <set>
 #include <string>
 
-#include "service/node.hpp"
-#include "service/open_attempt.hpp"
+#include "cluster/node.hpp"
+#include "scheduling/open_attempt.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class FailureRecords {
+class FailureBackoff {
   public:
-    explicit FailureRecords(const Node& node) : node_(node) {}
+    explicit FailureBackoff(const Node& node) : node_(node) {}
 
-    void note_exit(const OpenAttempt& open, core::ExitCause cause);
+    void record_exit(const OpenAttempt& open, core::ExitCause cause);
     // Until when each job's tasks are not tried; steady.
     std::map<std::string, io::Micros> job_backoff() const;
     // Until when machines take no tasks of this owner; steady, only what is still to come.
@@ -23,16 +23,16 @@
     void forget_gone();
 
   private:
-    struct FailureRecord {
+    struct BackoffState {
         int errors = 0;
         io::Micros until{0};           // steady
         std::set<std::string> others;  // a job's machines, a machine's jobs
     };
-    void note_error(const OpenAttempt& open, FailureRecord& machine, io::Micros now);
+    void record_error(const OpenAttempt& open, BackoffState& machine, io::Micros now);
 
     const Node& node_;
-    std::map<std::string, FailureRecord> machines_;
-    std::map<std::string, FailureRecord> jobs_;
+    std::map<std::string, BackoffState> machines_;
+    std::map<std::string, BackoffState> jobs_;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/group_commit.cpp
+++ b/src/scheduling/group_commit.cpp
@@ -1,4 +1,4 @@
-#include "service/group_commit.hpp"
+#include "scheduling/group_commit.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 #include <iterator>
 #include <utility>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -47,7 +47,7 @@
 
 wire::Transaction GroupCommit::transaction(std::span<const WriteUnit> units) const {
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.stamp);
+    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
     for (const WriteUnit& unit : units) {
         transaction.conditions.insert(transaction.conditions.end(), unit.conditions.begin(),
                                       unit.conditions.end());
@@ -75,7 +75,7 @@
     co_return true;
 }
 
-void GroupCommit::note_refused(const Group& group) {
+void GroupCommit::record_refused(const Group& group) {
     const Micros now = steady_now();
     if (group.units.size() > 1) {
         single_units_until_ = now + kRefusedGroup;
@@ -86,7 +86,7 @@
 
 bool GroupCommit::in_doubt() {
     // No copy of a transaction of an earlier epoch can be carried out any more.
-    if (in_doubt_ && in_doubt_->epoch() != node_.epoch.stamp) in_doubt_.reset();
+    if (in_doubt_ && in_doubt_->epoch() != node_.epoch.mod_revision) in_doubt_.reset();
     return in_doubt_.has_value();
 }
 
@@ -109,39 +109,40 @@
     const CommitPriority priority{false, group.pressing_writes()};
     auto task = node_.state.commit(group.transaction, steady_now() + kCommitTime, priority);
     const CommitResult result = co_await std::move(task);
-    if (result.outcome == Commit::done) {
+    if (result.outcome == CommitOutcome::committed) {
         in_doubt_.reset();
         committed(group, result.revision);
         co_return true;
     }
-    if (result.outcome == Commit::refused) {
+    if (result.outcome == CommitOutcome::refused) {
         in_doubt_.reset();
-        note_refused(group);
+        record_refused(group);
         co_return false;
     }
-    if (result.outcome == Commit::conflict) {
+    if (result.outcome == CommitOutcome::conflict) {
         in_doubt_.reset();
-        auto reach =
-            replica_.reach_conflict(group.transaction.conditions, result, steady_now() + kConflictTime);
-        const bool reached = co_await std::move(reach);
-        if (reached && sent_before) reap_what_is_recorded(group);
+        auto wait_for_revision =
+            replica_.wait_for_conflict(group.transaction.conditions, result, steady_now() + kConflictTime);
+        const bool reached = co_await std::move(wait_for_revision);
+        if (reached && sent_before) acknowledge_recorded_exits(group);
         co_return false;
     }
     // Without an answer it may have been carried out, or may be later: the same again until there is an
     // answer. Its conditions make all but one copy fail. A refusal of the repeat says nothing about the first
     // copy (UserAnswers.ALateGroupCommitOfTheSameOwnerRecordsNothing).
-    if (result.outcome == Commit::unknown || (sent_before && result.outcome == Commit::not_now)) {
-        if (group.epoch() == node_.epoch.stamp) in_doubt_ = std::move(group);
+    if (result.outcome == CommitOutcome::unknown ||
+        (sent_before && result.outcome == CommitOutcome::unavailable)) {
+        if (group.epoch() == node_.epoch.mod_revision) in_doubt_ = std::move(group);
     } else {
         in_doubt_.reset();
     }
-    co_await node_.loop.sleep(result.outcome == Commit::unknown ? kUnknownPause : kRefusedPause);
+    co_await node_.loop.sleep(result.outcome == CommitOutcome::unknown ? kUnknownPause : kRefusedPause);
     co_return false;
 }
 
 // Before the record leaves the replica.
 void GroupCommit::log_end(const std::string& job) const {
-    const core::JobEntry* entry = node_.ledger.find(job);
+    const core::JobEntry* entry = node_.job_table.find(job);
     if (entry == nullptr) return;
     const Micros took = io::wall_now() - entry->job.accepted;
     spdlog::debug("event=job_ended job={} class={} tasks={} cancelled={} took_ms={}", job,
@@ -149,33 +150,33 @@
                   took.count() / kMicrosPerMilli);
 }
 
-void GroupCommit::committed(Group& group, core::Stamp revision) {
-    const core::Stamp epoch = group.epoch();
+void GroupCommit::committed(Group& group, core::Revision revision) {
+    const core::Revision epoch = group.epoch();
     for (WriteUnit& unit : group.units) committed(unit, revision, epoch);
 }
 
-void GroupCommit::committed(WriteUnit& unit, core::Stamp revision, core::Stamp epoch) {
+void GroupCommit::committed(WriteUnit& unit, core::Revision revision, core::Revision epoch) {
     for (const auto& [job, state] : unit.ends) log_end(job);
     replica_.committed(unit.effects, revision);
     for (const auto& [job, state] : unit.ends) replica_.final_states().insert(job, state);
     // Jobs that need these are released without waiting for the watch.
-    if (!unit.ends.empty()) node_.advanced.notify_all();
+    if (!unit.ends.empty()) node_.replica_advanced.notify_all();
     pages_.written(unit.chunks);
     for (auto& closed : unit.closed) dispatch_.end_recorded(std::move(closed));
-    // Recorded, so it may start; if this node is the owner no more, its order is void.
-    if (!node_.acting() || epoch != node_.epoch.stamp) return;
+    // Recorded, so it may start; if this node is the shard owner no more, its order is void.
+    if (!node_.holds_leadership() || epoch != node_.epoch.mod_revision) return;
     for (const auto& started : unit.started) {
         // The answer may come long after the record, and a confirmed cancel in between
         // (UserAnswers.ACancelConfirmedBeforeTheStartsRecordIsAnsweredStartsNothing).
-        const core::JobEntry* entry = node_.ledger.find(started.job);
+        const core::JobEntry* entry = node_.job_table.find(started.job);
         if (entry != nullptr && !entry->job.cancelled) dispatch_.start_recorded(started);
     }
 }
 
-void GroupCommit::reap_what_is_recorded(const Group& group) {
+void GroupCommit::acknowledge_recorded_exits(const Group& group) {
     for (const WriteUnit& unit : group.units) {
         for (const auto& closed : unit.closed) {
-            const core::Attempt* open = node_.ledger.open_attempt(closed.job, closed.task);
+            const core::Attempt* open = node_.job_table.open_attempt(closed.job, closed.task);
             if (open == nullptr || open->number != closed.attempt.number) dispatch_.end_recorded(closed);
         }
     }
@@ -183,25 +184,25 @@
 
 bool GroupCommit::unused(const core::AttemptPage& page) const {
     return std::none_of(page.chunks.begin(), page.chunks.end(),
-                        [&](const auto& chunk) { return node_.ledger.find(chunk.first) != nullptr; });
+                        [&](const auto& chunk) { return node_.job_table.find(chunk.first) != nullptr; });
 }
 
 Task<void> GroupCommit::erase_unused_pages() {
     wire::Transaction transaction;
     std::vector<wire::StoreItem> effects;
-    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.stamp);
-    for (const auto& [key, page] : node_.ledger.pages()) {
+    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
+    for (const auto& [key, page] : node_.job_table.pages()) {
         if (transaction.writes.size() >= std::min(kErasedTogether, node_.settings.txn_ops)) break;
-        if (!node_.owns(key.first) || !unused(page)) continue;
-        transaction.conditions.emplace_back(keys::page(key), page.stamp);
+        if (!node_.owns_shard(key.first) || !unused(page)) continue;
+        transaction.conditions.emplace_back(keys::page(key), page.mod_revision);
         transaction.writes.push_back({keys::page(key), std::nullopt, 0});
         effects.push_back({keys::page(key), std::nullopt, 0});
     }
     if (effects.empty()) co_return;
     auto task = node_.state.commit(std::move(transaction), steady_now() + kEraseTime);
     const CommitResult result = co_await std::move(task);
-    if (result.outcome != Commit::done) co_return;
+    if (result.outcome != CommitOutcome::committed) co_return;
     replica_.committed(effects, result.revision);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/group_commit.hpp
+++ b/src/scheduling/group_commit.hpp
@@ -7,17 +7,17 @@
 #include <span>
 #include <vector>
 
-#include "service/attempt_page_writer.hpp"
-#include "service/node.hpp"
-#include "service/order_dispatch.hpp"
-#include "service/replica.hpp"
-#include "service/write_unit.hpp"
+#include "cluster/node.hpp"
+#include "scheduling/attempt_page_writer.hpp"
+#include "scheduling/command_dispatcher.hpp"
+#include "scheduling/write_unit.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 class GroupCommit {
   public:
-    GroupCommit(Node& node, Replica& replica, AttemptPageWriter& pages, OrderDispatch& dispatch)
+    GroupCommit(Node& node, Replica& replica, AttemptPageWriter& pages, CommandDispatcher& dispatch)
         : node_(node), replica_(replica), pages_(pages), dispatch_(dispatch) {}
 
     // False when the pass must begin anew.
@@ -36,31 +36,31 @@
     struct Group {
         wire::Transaction transaction;
         std::vector<WriteUnit> units;
-        core::Stamp epoch() const { return transaction.conditions.front().second; }
+        core::Revision epoch() const { return transaction.conditions.front().second; }
         // Its writes that do not only take what is unused.
         double pressing_writes() const;
     };
     // As many units from the front as go into one transaction.
     std::size_t fitting(std::span<const WriteUnit> units) const;
     // Over a limit that is lower than known. One unit too large must not hold up the others.
-    void note_refused(const Group& group);
+    void record_refused(const Group& group);
     wire::Transaction transaction(std::span<const WriteUnit> units) const;
     io::Task<bool> send(Group group);
-    void committed(Group& group, core::Stamp revision);
-    void committed(WriteUnit& unit, core::Stamp revision, core::Stamp epoch);
+    void committed(Group& group, core::Revision revision);
+    void committed(WriteUnit& unit, core::Revision revision, core::Revision epoch);
     // The ends of attempts may have been recorded by a copy of a transaction that got no answer.
-    void reap_what_is_recorded(const Group& group);
+    void acknowledge_recorded_exits(const Group& group);
     void log_end(const std::string& job) const;
     bool unused(const core::AttemptPage& page) const;
 
     Node& node_;
     Replica& replica_;
     AttemptPageWriter& pages_;
-    OrderDispatch& dispatch_;
+    CommandDispatcher& dispatch_;
     std::optional<Group> in_doubt_;
     // Until when units are left out that the store refused by themselves, by their first key; steady.
     std::map<std::string, io::Micros> refused_until_;
     io::Micros single_units_until_{0};  // a group was refused: until then each unit goes by itself
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/open_attempt.hpp
+++ b/src/scheduling/open_attempt.hpp
@@ -1,14 +1,14 @@
-// An attempt as the owner's modules pass it on.
+// An attempt as the shard shard owner's modules pass it on.
 #pragma once
 
 #include <cstdint>
 #include <string>
 
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-// An attempt that is recorded as open; a view, valid until the ledger changes.
+// An attempt that is recorded as open; a view, valid until the job table changes.
 struct OpenAttempt {
     const core::JobEntry& entry;
     std::uint32_t task;
@@ -18,11 +18,11 @@
     std::uint32_t chunk() const { return task / core::kChunkTasks; }
 };
 
-// The same by value, for what outlives the ledger's record.
+// The same by value, for what outlives the job table's record.
 struct TaskAttempt {
     std::string job;
     std::uint32_t task = 0;
     core::Attempt attempt;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/page_assignment.cpp
+++ b/src/scheduling/page_assignment.cpp
@@ -1,9 +1,9 @@
-#include "service/page_assignment.hpp"
+#include "scheduling/page_assignment.hpp"
 
 #include <algorithm>
 #include <optional>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 namespace {
 
@@ -31,22 +31,22 @@
 
     PageAssignment(const Node& node, const std::set<std::string>& ending)
         : node_(node), capacity_(page_bytes(node.settings)), longest_name_(node.cluster_view.longest_name()) {
-        for (const auto& [key, page] : node.ledger.pages()) {
-            if (node.owns(key.first)) load_[key] = load_of(page, ending);
+        for (const auto& [key, page] : node.job_table.pages()) {
+            if (node.owns_shard(key.first)) load_[key] = load_of(page, ending);
         }
     }
 
     Pages assign(StagedRecords& staged) {
         for (const auto& [key, record] : staged.chunks) {
             if (record.chunk.page == 0) continue;
-            touched_[{node_.ledger.find(key.first)->job.team, record.chunk.page}].push_back(key);
+            touched_[{node_.job_table.find(key.first)->job.team, record.chunk.page}].push_back(key);
         }
         for (auto& [key, record] : staged.chunks) {
             if (record.chunk.page != 0) continue;
-            const core::JobEntry& entry = *node_.ledger.find(key.first);
-            const std::size_t need = reserve(entry, key.second, record.chunk);
-            const core::AttemptPageKey page = choose(entry.job.team, need);
-            load_[page] += need;
+            const core::JobEntry& entry = *node_.job_table.find(key.first);
+            const std::size_t resources = reserve(entry, key.second, record.chunk);
+            const core::AttemptPageKey page = choose(entry.job.team, resources);
+            load_[page] += resources;
             record.chunk.page = page.second;
             touched_[page].push_back(key);
         }
@@ -55,7 +55,7 @@
 
   private:
     // What the chunk may grow to, if its other tasks share machines as much as those that are open now. With
-    // the worst for each task, pages were half empty, and the state service counts the pages that are
+    // the worst for each task, pages were half empty, and the store counts the pages that are
     // written.
     std::size_t reserve(const core::JobEntry& entry, std::uint32_t index, const core::Chunk& chunk) const {
         const std::uint32_t first = index * core::kChunkTasks;
@@ -81,7 +81,7 @@
     std::size_t load_of(const core::AttemptPage& page, const std::set<std::string>& ending) const {
         std::size_t sum = 0;
         for (const auto& [job, chunk] : page.chunks) {
-            const core::JobEntry* entry = node_.ledger.find(job);
+            const core::JobEntry* entry = node_.job_table.find(job);
             if (entry == nullptr || ending.contains(job)) continue;
             sum += reserve(*entry, chunk, entry->chunks.at(chunk));
         }
@@ -89,28 +89,28 @@
     }
 
     // Pages that are written anyway first, then the emptiest, then a new one.
-    core::AttemptPageKey choose(const std::string& team, std::size_t need) {
-        if (const auto page = last_touched(team, need)) return *page;
-        return emptiest_or_new(team, need);
+    core::AttemptPageKey choose(const std::string& team, std::size_t resources) {
+        if (const auto page = last_touched(team, resources)) return *page;
+        return emptiest_or_new(team, resources);
     }
 
-    std::optional<core::AttemptPageKey> last_touched(const std::string& team, std::size_t need) {
+    std::optional<core::AttemptPageKey> last_touched(const std::string& team, std::size_t resources) {
         std::optional<core::AttemptPageKey> last;
         for (const auto& [page, chunks] : touched_) {
-            if (page.first == team && load_[page] + need <= capacity_) last = page;
+            if (page.first == team && load_[page] + resources <= capacity_) last = page;
         }
         return last;
     }
 
-    core::AttemptPageKey emptiest_or_new(const std::string& team, std::size_t need) const {
+    core::AttemptPageKey emptiest_or_new(const std::string& team, std::size_t resources) const {
         std::optional<core::AttemptPageKey> emptiest;
         core::AttemptPageKey fresh{team, 1};
         std::size_t least = capacity_;
         for (const auto& [page, load] : load_) {
             if (page.first != team) continue;
             if (page.second == fresh.second) ++fresh.second;
-            if (load + need > least) continue;
-            least = load + need;
+            if (load + resources > least) continue;
+            least = load + resources;
             emptiest = page;
         }
         return emptiest.value_or(fresh);
@@ -130,4 +130,4 @@
     return PageAssignment{node, ending}.assign(staged);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/page_assignment.hpp
+++ b/src/scheduling/page_assignment.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "service/node.hpp"
-#include "service/staged_records.hpp"
+#include "cluster/node.hpp"
+#include "scheduling/staged_records.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 // Gives each staged chunk without a page one, and returns the pages to be written with their staged chunks.
 // `ending`: jobs whose chunks leave their pages. Pages stay below the size that this node can afford to read,
@@ -18,4 +18,4 @@
                                                                          StagedRecords& staged,
                                                                          const std::set<std::string>& ending);
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/placement_round.cpp
+++ b/src/scheduling/placement_round.cpp
@@ -1,11 +1,11 @@
-#include "service/placement_round.hpp"
+#include "scheduling/placement_round.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 
@@ -24,61 +24,62 @@
         std::max<std::size_t>(input.most_starts, node_.settings.txn_ops * kStartsPerOperation);
     input.most_stops =
         std::max<std::size_t>(input.most_stops, node_.cluster_view.machines().size() / kMachinesPerStop);
-    input.ledger = &node_.ledger;
+    input.job_table = &node_.job_table;
     input.cluster_view = &node_.cluster_view;
     input.teams = &node_.settings.teams;
     input.objectives = &node_.settings.objectives;
     for (const auto& [name, team] : node_.settings.teams) {
-        if (node_.owns(name)) input.own_teams.insert(name);
+        if (node_.owns_shard(name)) input.own_teams.insert(name);
     }
     input.now = io::steady_now();
-    input.wall = io::wall_now();
+    input.wall_clock_now = io::wall_now();
     return input;
 }
 
 bool PlacementRound::anything_to_start(const core::PlacementInput& input) const {
-    const auto& jobs = node_.ledger.jobs();
+    const auto& jobs = node_.job_table.jobs();
     return std::any_of(jobs.begin(), jobs.end(), [&](const auto& job) {
         const core::JobEntry& entry = job.second;
         return entry.unstarted() > 0 && !entry.job.cancelled && input.own_teams.contains(entry.job.team);
     });
 }
 
-void PlacementRound::add_holds(core::PlacementInput& input) {
+void PlacementRound::add_peer_reservations(core::PlacementInput& input) {
     input.reservations = reservations_;
     std::erase_if(stopping_, [&](const auto& stop) { return stop.second <= input.now; });
     for (const auto& [task, until] : stopping_) input.stopping.insert(task);
     // Free capacity that another owner has cleared: without this the victim's owner, which hears of the exit
     // as soon as anyone, puts the task right back and is stopped again, over and over.
-    std::erase_if(node_.foreign_holds, [&](const auto& hold) {
-        const core::Attempt* open = node_.ledger.open_attempt(hold.first.job, hold.first.task);
+    std::erase_if(node_.peer_reservations, [&](const auto& hold) {
+        const core::Attempt* open = node_.job_table.open_attempt(hold.first.job, hold.first.task);
         return hold.second.until <= input.now || (open != nullptr && open->machine == hold.second.machine);
     });
-    for (const auto& [task, hold] : node_.foreign_holds) input.foreign.push_back(hold);
+    for (const auto& [task, hold] : node_.peer_reservations) input.peer_reservations.push_back(hold);
 }
 
 core::FreeCapacity PlacementRound::free_capacity(Micros now) {
     auto availability = node_.availability();
-    for (const auto& [machine, until] : failures_.machine_backoff(now))
+    for (const auto& [machine, until] : failure_backoff_.machine_backoff(now))
         availability.banned_until[machine] = until;
-    return core::FreeCapacity::build(node_.cluster_view, node_.ledger, *node_.catalog, availability,
+    return core::FreeCapacity::build(node_.cluster_view, node_.job_table, *node_.catalog, availability,
                                      &node_.free_capacity_cache);
 }
 
 std::size_t PlacementRound::run(StagedRecords& staged, std::size_t most_records) {
     core::PlacementInput input = gather_input(most_records);
     if (!anything_to_start(input)) return 0;
-    input.job_backoff = failures_.job_backoff();
-    const auto pipelines = core::PipelineSchedule::build(node_.ledger, node_.settings.objectives, input.wall);
+    input.job_backoff = failure_backoff_.job_backoff();
+    const auto pipelines =
+        core::PipelineSchedule::build(node_.job_table, node_.settings.objectives, input.wall_clock_now);
     input.pipelines = &pipelines;
     core::FreeCapacity capacity = free_capacity(input.now);
-    add_holds(input);
+    add_peer_reservations(input);
     auto result = core::place(input, capacity);
     capacity.recycle(node_.free_capacity_cache);
     announce(result.reservations, input.now);
     reservations_ = std::move(result.reservations);
     std::erase_if(announced_, [&](const auto& told) { return !reservations_.contains(told.first); });
-    for (const auto& start : result.starts) staged.start(*node_.ledger.find(start.job), start);
+    for (const auto& start : result.starts) staged.start(*node_.job_table.find(start.job), start);
     send_stops(result.stops, input.now);
     return result.deferred;
 }
@@ -87,12 +88,12 @@
     for (const auto& [task, reservation] : reservations) {
         // Told again before it runs out on the others' side.
         Micros& told_until = announced_[task];
-        if (!node_.announce_hold || reservation.until - told_until < kAnnounceAgain) continue;
+        if (!node_.announce_reservation || reservation.until - told_until < kAnnounceAgain) continue;
         told_until = reservation.until;
-        const core::Amount& need = reservation.need;
+        const core::Resources& resources = reservation.resources;
         const auto lasts_us = static_cast<std::uint64_t>((reservation.until - now).count());
-        node_.announce_hold({reservation.machine, task.job, task.task, need.cpus, need.gpus, need.memory_gb,
-                             lasts_us, reservation.waiting});
+        node_.announce_reservation({reservation.machine, task.job, task.task, resources.cpus, resources.gpus,
+                                    resources.memory_gb, lasts_us, reservation.waiting});
     }
 }
 
@@ -104,4 +105,4 @@
     }
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/owner.cpp
+++ b/src/scheduling/shard_scheduler.cpp
@@ -1,11 +1,11 @@
-#include "service/owner.hpp"
+#include "scheduling/shard_scheduler.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -26,35 +26,35 @@
 constexpr double kCompletionShare = 0.5;
 }  // namespace
 
-Task<void> Owner::run() {
+Task<void> ShardScheduler::run() {
     while (true) {
-        co_await node_.work.wait(steady_now() + kIdleInterval);
+        co_await node_.scheduling_needed.wait(steady_now() + kIdleInterval);
         // Close changes share one pass and one group commit.
         co_await node_.loop.sleep(std::max(node_.tunables.pass_gap, kPauseInPasses * last_pass_));
-        if (!node_.acting() || !node_.catalog) continue;
+        if (!node_.holds_leadership() || !node_.catalog) continue;
         start_epoch();
         auto whole_pass = pass();
         co_await std::move(whole_pass);
-        dispatch_.reap();
-        if (dispatch_.sweep()) failures_.forget_gone();
+        dispatch_.acknowledge_exits();
+        if (dispatch_.reconcile_orphans()) failure_backoff_.forget_gone();
         auto erasure = erase_unused_pages();
         co_await std::move(erasure);
     }
 }
 
-void Owner::start_epoch() {
+void ShardScheduler::start_epoch() {
     if (epoch_seen_ == node_.epoch.number) return;
     epoch_seen_ = node_.epoch.number;
     dispatch_.start_epoch();
     placement_.start_epoch();
     pages_.start_epoch();
-    settlement_.start_epoch();
+    reconciler_.start_epoch();
 }
 
-Task<void> Owner::pass() {
+Task<void> ShardScheduler::pass() {
     const Micros began = steady_now();
     StagedRecords staged;
-    settlement_.settle(staged);
+    reconciler_.reconcile(staged);
     // Nothing new is placed in an outage, nor from a copy that may lack this node's own records: what they
     // use would be placed once more (UserAnswers.AnOwnerPlansNothingFromACopyThatLacksItsOwnRecords).
     const bool reachable = node_.state.reachable(steady_now());
@@ -64,35 +64,37 @@
         if (!in_doubt || !reachable) co_return;
         auto repeat = commit_.repeat();
         co_await std::move(repeat);
-        node_.work.notify_all();
+        node_.scheduling_needed.notify_all();
         co_return;
     }
     PassWrites writes = plan_writes(staged);
     node_.state.set_backlog(writes.left_out + static_cast<double>(writes.deferred));
     last_pass_ = std::min(steady_now() - began, kPassCounted);
-    spdlog::debug("event=pass took_us={} units={} writes={} left_out={} deferred={} spare={:.1f} rate={:.1f}",
-                  last_pass_.count(), writes.units.size(), writes.planned, writes.left_out, writes.deferred,
-                  writes.spare, node_.state.write_rate());
+    spdlog::debug(
+        "event=scheduling_pass took_us={} units={} writes={} left_out={} deferred={} spare={:.1f} "
+        "rate={:.1f}",
+        last_pass_.count(), writes.units.size(), writes.planned, writes.left_out, writes.deferred,
+        writes.spare, node_.state.write_rate());
     if (writes.units.empty()) co_return;
     auto task = commit_.write(std::move(writes.units));
     const bool committed = co_await std::move(task);
     // The free capacity of the pass is used up by then: another pass sees what is left to do.
-    if (committed) node_.work.notify_all();
+    if (committed) node_.scheduling_needed.notify_all();
 }
 
 // Most of what an owner has to write can wait. Were it to use the budget ahead, each start after it would
 // wait until that is paid.
-double Owner::WriteBudget::limit(WriteRank rank) const {
+double ShardScheduler::WriteBudget::limit(WriteRank rank) const {
     if (rank >= WriteRank::completion) return spare * kCompletionShare;
     return rank == WriteRank::due_completion ? spare : bear;
 }
 
-Owner::WriteBudget Owner::write_budget() {
+ShardScheduler::WriteBudget ShardScheduler::write_budget() {
     const double spare = std::max(0.0, node_.state.spare_writes());
     return {spare, std::max(kLeastWrites, spare + node_.state.write_rate() * kBudgetSpanSeconds)};
 }
 
-Owner::PassWrites Owner::plan_writes(StagedRecords& staged) {
+ShardScheduler::PassWrites ShardScheduler::plan_writes(StagedRecords& staged) {
     const WriteBudget budget = write_budget();
     const auto pressing = static_cast<double>(staged.finished.size() * kWritesPerFinish);
     const double records = std::max(kLeastWrites, kChunksPerPage * (budget.bear - pressing));
@@ -112,12 +114,12 @@
     return writes;
 }
 
-Task<void> Owner::erase_unused_pages() {
-    if (steady_now() - last_erased_ < kEraseInterval || !node_.acting()) co_return;
+Task<void> ShardScheduler::erase_unused_pages() {
+    if (steady_now() - last_erased_ < kEraseInterval || !node_.holds_leadership()) co_return;
     if (node_.state.spare_writes() < kEraseSpareWrites) co_return;
     last_erased_ = steady_now();
     auto task = commit_.erase_unused_pages();
     co_await std::move(task);
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/owner.hpp
+++ b/src/scheduling/shard_scheduler.hpp
@@ -2,27 +2,27 @@
 // loop; the steps are modules of their own.
 #pragma once
 
-#include "service/attempt_page_writer.hpp"
-#include "service/attempt_settlement.hpp"
-#include "service/failure_records.hpp"
-#include "service/group_commit.hpp"
-#include "service/node.hpp"
-#include "service/order_dispatch.hpp"
-#include "service/placement_round.hpp"
-#include "service/replica.hpp"
-#include "service/workers.hpp"
+#include "cluster/node.hpp"
+#include "scheduling/attempt_page_writer.hpp"
+#include "scheduling/attempt_reconciler.hpp"
+#include "scheduling/command_dispatcher.hpp"
+#include "scheduling/failure_backoff.hpp"
+#include "scheduling/group_commit.hpp"
+#include "scheduling/placement_round.hpp"
+#include "store/replica.hpp"
+#include "workers/worker_gateway.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class Owner {
+class ShardScheduler {
   public:
-    Owner(Node& node, Replica& replica, Workers& workers)
+    ShardScheduler(Node& node, Replica& replica, WorkerGateway& workers)
         : node_(node),
           replica_(replica),
           dispatch_(node, workers),
-          failures_(node),
-          settlement_(node, dispatch_, failures_),
-          placement_(node, dispatch_, failures_),
+          failure_backoff_(node),
+          reconciler_(node, dispatch_, failure_backoff_),
+          placement_(node, dispatch_, failure_backoff_),
           pages_(node),
           commit_(node, replica, pages_, dispatch_) {}
     io::Task<void> run();
@@ -50,9 +50,9 @@
 
     Node& node_;
     Replica& replica_;
-    OrderDispatch dispatch_;
-    FailureRecords failures_;
-    AttemptSettlement settlement_;
+    CommandDispatcher dispatch_;
+    FailureBackoff failure_backoff_;
+    AttemptReconciler reconciler_;
     PlacementRound placement_;
     AttemptPageWriter pages_;
     GroupCommit commit_;
@@ -61,4 +61,4 @@
     io::Micros last_erased_{0};  // steady
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/staged_records.cpp
+++ b/src/scheduling/staged_records.cpp
@@ -1,8 +1,8 @@
-#include "service/staged_records.hpp"
+#include "scheduling/staged_records.hpp"
 
 #include <algorithm>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 ChunkRecord& StagedRecords::stage(const core::JobEntry& entry, std::uint32_t chunk) {
     const auto [staged, fresh] = chunks.try_emplace({entry.job.id, chunk});
@@ -29,4 +29,4 @@
     record.started.push_back({start.job, start.task, start.attempt});
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/write_unit.hpp
+++ b/src/scheduling/write_unit.hpp
@@ -5,11 +5,11 @@
 #include <utility>
 #include <vector>
 
-#include "service/final_states.hpp"
-#include "service/open_attempt.hpp"
+#include "scheduling/open_attempt.hpp"
+#include "store/final_state_cache.hpp"
 #include "wire/messages.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 // Lower goes first.
 enum class WriteRank : std::uint8_t {
@@ -26,8 +26,8 @@
 struct WriteUnit {
     WriteRank rank = WriteRank::production;
     std::vector<core::ChunkKey> chunks;
-    std::vector<std::pair<std::string, core::Stamp>> conditions;
-    std::vector<wire::StoreItem> effects;                  // written, and then part of the copy
+    std::vector<std::pair<std::string, core::Revision>> conditions;
+    std::vector<wire::StoreItem> effects;                  // written, and then part of the replica
     std::vector<wire::StoreItem> extra;                    // written only
     std::vector<std::pair<std::string, FinalState>> ends;  // of jobs
     std::vector<TaskAttempt> closed;
@@ -37,4 +37,4 @@
     std::size_t writes() const { return effects.size() + extra.size(); }
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/final_states.hpp
+++ b/src/store/final_state_cache.hpp
@@ -8,17 +8,17 @@
 
 #include "wire/messages.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 struct FinalState {
     wire::JobStatus status = wire::JobStatus::done;
     std::uint32_t done = 0;  // tasks, for display
 };
 
-class FinalStates {
+class FinalStateCache {
   public:
     // Keeps the latest `most` of them.
-    explicit FinalStates(std::size_t most) : most_(most) {}
+    explicit FinalStateCache(std::size_t most) : most_(most) {}
     void insert(const std::string& job, FinalState state) {
         if (!states_.emplace(job, state).second) return;
         order_.push_back(job);
@@ -38,4 +38,4 @@
     std::list<std::string> order_;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/final_state_reader.cpp
+++ b/src/store/final_state_reader.cpp
@@ -1,8 +1,8 @@
-#include "service/final_state_reader.hpp"
+#include "store/final_state_reader.hpp"
 
 #include <algorithm>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -29,17 +29,18 @@
     io::Signal read;
     std::size_t next = 0;
     std::size_t readers = 0;
-    core::Stamp revision = 0;
+    core::Revision revision = 0;
     bool ok = true;
 };
 
-std::optional<core::Ending> FinalStateReader::ending(const std::string& job) const {
+std::optional<core::TerminalState> FinalStateReader::ending(const std::string& job) const {
     const FinalState* state = known(job);
     if (state == nullptr) return std::nullopt;
-    return state->status == wire::JobStatus::done ? core::Ending::done : core::Ending::cancelled;
+    return state->status == wire::JobStatus::done ? core::TerminalState::done
+                                                  : core::TerminalState::cancelled;
 }
 
-Task<Lookup> FinalStateReader::find(std::string job, FinalState& into, core::Stamp& revision,
+Task<Lookup> FinalStateReader::find(std::string job, FinalState& into, core::Revision& revision,
                                     Micros deadline) {
     if (const FinalState* state = known(job)) {
         into = *state;
@@ -60,7 +61,7 @@
 Task<void> FinalStateReader::read_singly(Batch& batch) {
     while (batch.ok && batch.next < batch.jobs.size()) {
         FinalState state;
-        core::Stamp revision = 0;
+        core::Revision revision = 0;
         auto task = find(batch.jobs[batch.next++], state, revision, batch.deadline);
         const Lookup lookup = co_await std::move(task);
         if (lookup == Lookup::failed) batch.ok = false;
@@ -69,7 +70,7 @@
     if (--batch.readers == 0) batch.read.notify_all();
 }
 
-Task<bool> FinalStateReader::read_pages(std::vector<std::string> jobs, core::Stamp& revision,
+Task<bool> FinalStateReader::read_pages(std::vector<std::string> jobs, core::Revision& revision,
                                         Micros deadline) {
     std::size_t next = 0;
     while (next < jobs.size()) {
@@ -93,7 +94,8 @@
     co_return true;
 }
 
-Task<bool> FinalStateReader::read_all(std::vector<std::string> jobs, core::Stamp& revision, Micros deadline) {
+Task<bool> FinalStateReader::read_all(std::vector<std::string> jobs, core::Revision& revision,
+                                      Micros deadline) {
     std::erase_if(jobs, [&](const auto& job) { return known(job) != nullptr; });
     if (jobs.size() > kReadSingly) {
         std::sort(jobs.begin(), jobs.end());
@@ -110,4 +112,4 @@
     co_return batch.ok;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/final_state_reader.hpp
+++ b/src/store/final_state_reader.hpp
@@ -3,12 +3,12 @@
 
 #include <optional>
 
+#include "cluster/node.hpp"
 #include "core/dependency_graph.hpp"
-#include "service/final_states.hpp"
-#include "service/node.hpp"
-#include "service/replica.hpp"
+#include "store/final_state_cache.hpp"
+#include "store/replica.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 enum class Lookup : std::uint8_t { found, absent, failed };
 
@@ -18,22 +18,22 @@
 
     // What is remembered; null or nothing when it is not known here.
     const FinalState* known(const std::string& job) const { return states_.find(job); }
-    std::optional<core::Ending> ending(const std::string& job) const;
+    std::optional<core::TerminalState> ending(const std::string& job) const;
     void note(const std::string& job, FinalState state) { states_.insert(job, state); }
     // `revision`, after `absent`: of the store when it held no final state of the job.
-    io::Task<Lookup> find(std::string job, FinalState& into, core::Stamp& revision, io::Micros deadline);
+    io::Task<Lookup> find(std::string job, FinalState& into, core::Revision& revision, io::Micros deadline);
     // Reads those that are not known. False when not all reads were answered; what had been read by then is
     // kept, so that the next try gets further. What is not known afterwards had no final state in the store
     // at some moment after the call, and at `revision` at the latest.
-    io::Task<bool> read_all(std::vector<std::string> jobs, core::Stamp& revision, io::Micros deadline);
+    io::Task<bool> read_all(std::vector<std::string> jobs, core::Revision& revision, io::Micros deadline);
 
   private:
     struct Batch;
     io::Task<void> read_singly(Batch& batch);
-    io::Task<bool> read_pages(std::vector<std::string> jobs, core::Stamp& revision, io::Micros deadline);
+    io::Task<bool> read_pages(std::vector<std::string> jobs, core::Revision& revision, io::Micros deadline);
 
     Node& node_;
-    FinalStates& states_;
+    FinalStateCache& states_;
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/state_client.cpp
+++ b/src/store/store_client.cpp
@@ -1,10 +1,10 @@
-#include "service/state_client.hpp"
+#include "store/store_client.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <cmath>
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
@@ -17,27 +17,27 @@
 constexpr double kUsedOfWriteLimit = 0.92;
 }  // namespace
 
-StateClient::StateClient(io::Loop& loop, const Settings& s)
+StoreClient::StoreClient(io::Loop& loop, const Settings& s)
     : loop_(loop), settings_(s), http_(loop, 6), requests_(1, 1), writes_(1, 1), user_writes_(1, 1) {
     share(s.peers.size() + 1, 1.0 / static_cast<double>(s.peers.size() + 1));
 }
 
-void StateClient::share(std::size_t nodes, double writes) {
-    const double n = static_cast<double>(std::max<std::size_t>(nodes, 1));
+void StoreClient::share(std::size_t member_records, double writes) {
+    const double n = static_cast<double>(std::max<std::size_t>(member_records, 1));
     requests_.set(settings_.state_rps * 0.9 / n, std::max(4.0, settings_.state_rps * 0.5 / n));
     const double rate = write_capacity() * writes;
     writes_.set(rate, std::max(4.0, rate * 0.9));
-    // Users' acceptances and cancels have a part of their own: behind an owner's transaction of dozens of
-    // writes one that takes milliseconds waited for seconds.
+    // Users' acceptances and cancels have a part of their own: behind an shard owner's transaction of dozens
+    // of writes one that takes milliseconds waited for seconds.
     const double users = settings_.state_write_rps * kUsersPart / n;
     user_writes_.set(users, std::max(3.0, users * 3));
 }
 
-double StateClient::write_capacity() const {
+double StoreClient::write_capacity() const {
     return settings_.state_write_rps * kUsedOfWriteLimit * (1 - kUsersPart);
 }
 
-void StateClient::want(double writes) {
+void StoreClient::want(double writes) {
     const Micros now = steady_now();
     if (demand_at_.count() != 0)
         demand_ *= std::exp(-static_cast<double>((now - demand_at_).count()) / 1e6 / kDemandSpan);
@@ -45,20 +45,20 @@
     demand_ = std::min(demand_ + writes, settings_.state_write_rps * kDemandSpan);
 }
 
-double StateClient::spare_writes() { return writes_.spare(steady_now()); }
+double StoreClient::spare_writes() { return writes_.spare(steady_now()); }
 
-bool StateClient::reachable(Micros now) const {
+bool StoreClient::reachable(Micros now) const {
     return failing_since_.count() == 0 || now - failing_since_ < Micros{600'000};
 }
 
-Task<io::HttpReply> StateClient::call(std::string method, std::string target, std::string body,
+Task<io::HttpReply> StoreClient::call(std::string method, std::string target, std::string body,
                                       Micros deadline, double writes, bool urgent, std::size_t most,
                                       bool for_user) {
     io::HttpReply reply;
     if (!urgent) {
         const Micros now = steady_now();
         const double debt = for_user ? 0.7 : 0;
-        Budget* from = &writes_;
+        TokenBucket* from = &writes_;
         Micros wait = writes > 0 ? writes_.wait(writes, now, debt) : Micros{0};
         if (const Micros own = user_writes_.wait(writes, now); for_user && own < wait) {
             from = &user_writes_;
@@ -89,16 +89,16 @@
     co_return reply;
 }
 
-std::optional<wire::Json> StateClient::parse(const io::HttpReply& r, const char* what) {
+std::optional<wire::Json> StoreClient::parse(const io::HttpReply& r, const char* what) {
     auto v = wire::decode(r.body);
     if (!v) {
         ++malformed_;
-        spdlog::warn("event=malformed_answer from=state call={} count={}", what, malformed_);
+        spdlog::warn("event=malformed_response from=state call={} count={}", what, malformed_);
     }
     return v;
 }
 
-Task<GetResult> StateClient::get(std::string key, Micros deadline) {
+Task<GetResult> StoreClient::get(std::string key, Micros deadline) {
     GetResult out;
     auto task = call("GET", "/store/" + key, "", deadline, 0, false);
     const io::HttpReply r = co_await std::move(task);
@@ -112,15 +112,15 @@
         out.revision = *revision;
         co_return out;
     }
-    const auto stamp = wire::whole(*v, "stamp");
-    if (!stamp || !v->contains("v")) co_return out;
+    const auto mod_revision = wire::whole(*v, "stamp");
+    if (!mod_revision || !v->contains("v")) co_return out;
     out.ok = true;
     out.value = (*v)["v"];
-    out.stamp = *stamp;
+    out.mod_revision = *mod_revision;
     co_return out;
 }
 
-Task<std::optional<wire::StorePage>> StateClient::page(std::string prefix, std::string after) {
+Task<std::optional<wire::StorePage>> StoreClient::page(std::string prefix, std::string after) {
     std::string target = "/store?starts=" + prefix;
     if (!after.empty()) target += "&after=" + after;
     target += "&most=1000";
@@ -132,7 +132,7 @@
     co_return wire::parse_page(*v);
 }
 
-Task<CommitResult> StateClient::commit(wire::Transaction t, Micros deadline, CommitPriority priority) {
+Task<CommitResult> StoreClient::commit(wire::Transaction t, Micros deadline, CommitPriority priority) {
     CommitResult out;
     const auto writes = static_cast<double>(t.writes.size());
     want(priority.demand.value_or(writes));
@@ -140,21 +140,21 @@
                      4U << 20U, priority.for_user);
     const io::HttpReply r = co_await std::move(task);
     if (r.status == 429 || r.status == 503 || r.never_sent) {
-        out.outcome = Commit::not_now;
+        out.outcome = CommitOutcome::unavailable;
         co_return out;
     }
     if (r.status == 400) {
-        spdlog::warn("event=commit_refused body={}", r.body.substr(0, 80));
-        out.outcome = Commit::refused;
+        spdlog::warn("event=commit_rejected body={}", r.body.substr(0, 80));
+        out.outcome = CommitOutcome::refused;
         co_return out;
     }
     if (r.status != 200 && r.status != 409) co_return out;
     const auto v = parse(r, "commit");
     const auto revision = v ? wire::whole(*v, "ledger") : std::nullopt;
     if (!revision) co_return out;
-    out.outcome = r.status == 200 ? Commit::done : Commit::conflict;
+    out.outcome = r.status == 200 ? CommitOutcome::committed : CommitOutcome::conflict;
     out.revision = *revision;
-    if (out.outcome == Commit::conflict) {
+    if (out.outcome == CommitOutcome::conflict) {
         out.failed = wire::failed_conditions(*v);
         spdlog::debug("event=commit_conflict revision={} failed={} first={}", out.revision, out.failed.size(),
                       out.failed.empty() ? "" : out.failed.front());
@@ -162,7 +162,7 @@
     co_return out;
 }
 
-Task<std::optional<std::uint64_t>> StateClient::grant(Micros life) {
+Task<std::optional<std::uint64_t>> StoreClient::grant_lease(Micros life) {
     wire::Json body{{"lifeMs", life.count() / 1000}};
     auto task = call("POST", "/grants", wire::encode(body), steady_now() + kCall, 0, true);
     const io::HttpReply r = co_await std::move(task);
@@ -172,19 +172,19 @@
     co_return wire::whole(*v, "tenure");
 }
 
-Task<StateClient::Renewal> StateClient::renew(std::uint64_t grant, Micros deadline) {
-    auto task = call("POST", "/grants/" + std::to_string(grant) + "/renew", "", deadline, 0, true);
+Task<StoreClient::Renewal> StoreClient::renew_lease(std::uint64_t store_lease, Micros deadline) {
+    auto task = call("POST", "/grants/" + std::to_string(store_lease) + "/renew", "", deadline, 0, true);
     const io::HttpReply r = co_await std::move(task);
     if (r.status == 200) co_return Renewal::done;
     co_return r.status == 404 ? Renewal::ended : Renewal::failed;
 }
 
-Task<void> StateClient::end_grant(std::uint64_t grant) {
-    auto task = call("DELETE", "/grants/" + std::to_string(grant), "", steady_now() + kCall, 0, true);
+Task<void> StoreClient::revoke_lease(std::uint64_t store_lease) {
+    auto task = call("DELETE", "/grants/" + std::to_string(store_lease), "", steady_now() + kCall, 0, true);
     co_await std::move(task);
 }
 
-Task<WatchResult> StateClient::watch(std::string prefix, core::Stamp after, Micros block) {
+Task<WatchResult> StoreClient::watch(std::string prefix, core::Revision after, Micros block) {
     WatchResult out;
     std::string target = "/watch?starts=" + prefix + "&after=" + std::to_string(after) +
                          "&blockMs=" + std::to_string(block.count() / 1000);
@@ -209,4 +209,4 @@
     co_return out;
 }
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/state_client.hpp
+++ b/src/store/store_client.hpp
@@ -1,35 +1,35 @@
-// The state service: its calls, its budgets, and what each answer proves.
+// The store: its calls, its budgets, and what each answer proves.
 #pragma once
 
 #include <optional>
 #include <string>
 
+#include "config/settings.hpp"
 #include "io/http.hpp"
-#include "service/budget.hpp"
-#include "service/settings.hpp"
+#include "store/token_bucket.hpp"
 #include "wire/messages.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-enum class Commit : std::uint8_t {
-    done,
-    conflict,  // not executed, and a condition failed
-    refused,   // not executed: malformed, or the grant has ended
-    not_now,   // not executed: outage or budget
-    unknown,   // no answer: may have been executed, or may be later
+enum class CommitOutcome : std::uint8_t {
+    committed,
+    conflict,     // not executed, and a condition failed
+    refused,      // not executed: malformed, or the store lease has ended
+    unavailable,  // not executed: outage or budget
+    unknown,      // no answer: may have been executed, or may be later
 };
 
 struct CommitResult {
-    Commit outcome = Commit::unknown;
-    core::Stamp revision = 0;
+    CommitOutcome outcome = CommitOutcome::unknown;
+    core::Revision revision = 0;
     std::vector<std::string> failed;  // after a conflict: keys whose conditions did not hold
 };
 
 struct GetResult {
     bool ok = false;  // an answer came: the value, or certainty that there is none
     std::optional<wire::Json> value;
-    core::Stamp stamp = 0;
-    core::Stamp revision = 0;  // with no value
+    core::Revision mod_revision = 0;
+    core::Revision revision = 0;  // with no value
 };
 
 struct WatchResult {
@@ -47,21 +47,21 @@
     std::optional<double> demand;
 };
 
-class StateClient {
+class StoreClient {
   public:
-    StateClient(io::Loop& loop, const Settings& s);
+    StoreClient(io::Loop& loop, const Settings& s);
 
     io::Task<GetResult> get(std::string key, io::Micros deadline);
     io::Task<std::optional<wire::StorePage>> page(std::string prefix, std::string after);
     io::Task<CommitResult> commit(wire::Transaction t, io::Micros deadline, CommitPriority priority = {});
-    io::Task<std::optional<std::uint64_t>> grant(io::Micros life);
+    io::Task<std::optional<std::uint64_t>> grant_lease(io::Micros life);
     enum class Renewal : std::uint8_t { done, ended, failed };
-    io::Task<Renewal> renew(std::uint64_t grant, io::Micros deadline);
-    io::Task<void> end_grant(std::uint64_t grant);
-    io::Task<WatchResult> watch(std::string prefix, core::Stamp after, io::Micros block);
+    io::Task<Renewal> renew_lease(std::uint64_t store_lease, io::Micros deadline);
+    io::Task<void> revoke_lease(std::uint64_t store_lease);
+    io::Task<WatchResult> watch(std::string prefix, core::Revision after, io::Micros block);
 
     // The limits are for all nodes together. `writes`: this node's part of them.
-    void share(std::size_t nodes, double writes);
+    void share(std::size_t member_records, double writes);
     // Writes that somebody holds back for want of budget.
     void set_backlog(double writes) { backlog_ = writes; }
     // Writes wanted a second: those made of late, and what waits.
@@ -84,9 +84,9 @@
     io::Loop& loop_;
     const Settings& settings_;
     io::HttpClient http_;
-    Budget requests_;
-    Budget writes_;
-    Budget user_writes_;
+    TokenBucket requests_;
+    TokenBucket writes_;
+    TokenBucket user_writes_;
     io::Micros last_ok_{0};
     io::Micros failing_since_{0};  // 0: the last call was answered
     std::uint64_t malformed_ = 0;
@@ -97,4 +97,4 @@
     io::Micros demand_at_{0};
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/service/budget.hpp
+++ b/src/store/token_bucket.hpp
@@ -5,11 +5,11 @@
 
 #include "io/loop.hpp"
 
-namespace hatchwind::service {
+namespace hatchwind::controller {
 
-class Budget {
+class TokenBucket {
   public:
-    Budget(double rate, double burst) : rate_(rate), burst_(burst), left_(burst) {}
+    TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), left_(burst) {}
     void set(double rate, double burst) {
         rate_ = rate;
         burst_ = burst;
@@ -46,4 +46,4 @@
     io::Micros last_{0};
 };
 
-}  // namespace hatchwind::service
+}  // namespace hatchwind::controller
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -41,13 +41,13 @@
     return ExitCause::error;  // new causes count as failures
 }
 
-const char* order_name(core::OrderKind k) {
+const char* order_name(core::CommandKind k) {
     switch (k) {
-        case core::OrderKind::start:
+        case core::CommandKind::start:
             return "start";
-        case core::OrderKind::stop:
+        case core::CommandKind::stop:
             return "halt";
-        case core::OrderKind::forget:
+        case core::CommandKind::acknowledge_exit:
             return "reap";
     }
     return "";
@@ -75,7 +75,7 @@
 
 constexpr std::string_view kJobIdPrefix = "req-";
 
-// Of the state service's records, in alphabetical order.
+// Of the store's records, in alphabetical order.
 constexpr std::array<std::string_view, 23> kJobFields = {
     "at",  "await_list", "await_parts", "awaits", "cancelled", "class", "cp",   "cpus",
     "due", "est",        "flags",       "gpus",   "igb",       "image", "kind", "later_team",
@@ -171,9 +171,9 @@
     } else if (wrong.empty()) {
         wrong = "legs";
     }
-    take_number("cores", j.need.cpus);
-    take_number("accelerators", j.need.gpus);
-    take_number("memGb", j.need.memory_gb);
+    take_number("cores", j.resources.cpus);
+    take_number("accelerators", j.resources.gpus);
+    take_number("memGb", j.resources.memory_gb);
     take_text("plate", j.image);
     take_number("sizeGb", j.image_gb);
     if (present(v, "builds")) {
@@ -195,10 +195,11 @@
         if ((!j.deadline_s || *j.deadline_s < 0 || *j.deadline_s > kMost) && wrong.empty()) wrong = "dueS";
     }
     if (present(v, "awaits")) {
-        auto awaits = distinct_job_ids(list(v, "awaits"));
-        const bool valid = awaits && std::find(awaits->begin(), awaits->end(), j.id) == awaits->end();
+        auto dependencies = distinct_job_ids(list(v, "awaits"));
+        const bool valid = dependencies &&
+                           std::find(dependencies->begin(), dependencies->end(), j.id) == dependencies->end();
         if (valid) {
-            j.awaits = std::move(*awaits);
+            j.dependencies = std::move(*dependencies);
         } else if (wrong.empty()) {
             wrong = "awaits";
         }
@@ -237,19 +238,19 @@
     return std::pair{std::string{name.substr(0, slash)}, *index};
 }
 
-std::optional<core::WorkerReport> parse_report(const Json& v) {
-    core::WorkerReport r;
+std::optional<core::WorkerHeartbeat> parse_worker_heartbeat(const Json& v) {
+    core::WorkerHeartbeat r;
     const auto machine = text(v, "perch");
     const auto address = text(v, "address");
     const auto type = text(v, "build");
     const auto zone = text(v, "roost");
     const auto spot = flag(v, "borrowed");
-    const auto session = whole(v, "stint");
-    const auto tick = whole(v, "tick");
-    const auto token = whole(v, "baton");
+    const auto incarnation = whole(v, "stint");
+    const auto heartbeat_sequence = whole(v, "tick");
+    const auto fencing_token = whole(v, "baton");
     const Json* tasks = list(v, "legs");
-    if (!machine || machine->empty() || !address || !type || !zone || !spot || !session || !tick || !token ||
-        tasks == nullptr) {
+    if (!machine || machine->empty() || !address || !type || !zone || !spot || !incarnation ||
+        !heartbeat_sequence || !fencing_token || tasks == nullptr) {
         return std::nullopt;
     }
     r.machine = *machine;
@@ -257,9 +258,9 @@
     r.type = *type;
     r.zone = *zone;
     r.spot = *spot;
-    r.session = *session;
-    r.tick = *tick;
-    r.token = *token;
+    r.incarnation = *incarnation;
+    r.heartbeat_sequence = *heartbeat_sequence;
+    r.fencing_token = *fencing_token;
     if (present(v, "warningS")) {
         r.notice_s = number(v, "warningS");
         if (!r.notice_s) return std::nullopt;
@@ -274,7 +275,7 @@
         auto ref = parse_task_name(*name);
         const auto st = task_state(*state);
         if (!ref || !st) return std::nullopt;
-        core::TaskReport out;
+        core::TaskStatus out;
         out.job = std::move(ref->first);
         out.task = ref->second;
         out.attempt = *attempt;
@@ -286,25 +287,26 @@
     return r;
 }
 
-Json order_list(const std::vector<core::Order>& orders) {
+Json command_list(const std::vector<core::WorkerCommand>& commands) {
     Json out = Json::array();
-    for (const auto& o : orders) {
+    for (const auto& o : commands) {
         Json call{{"call", order_name(o.kind)}, {"leg", task_name(o.job, o.task)}, {"try", o.attempt}};
-        if (o.kind == core::OrderKind::stop) call["settleS"] = o.grace_s;
+        if (o.kind == core::CommandKind::stop) call["settleS"] = o.grace_s;
         out.push_back(std::move(call));
     }
     return out;
 }
 
-Json report_answer(std::uint64_t token, const std::vector<core::Order>& orders) {
-    return {{"baton", token}, {"calls", order_list(orders)}};
+Json heartbeat_response(std::uint64_t fencing_token, const std::vector<core::WorkerCommand>& commands) {
+    return {{"baton", fencing_token}, {"calls", command_list(commands)}};
 }
 
-Json orders_request(std::uint64_t token, std::uint64_t session, const std::vector<core::Order>& orders) {
-    return {{"baton", token}, {"stint", session}, {"calls", order_list(orders)}};
+Json commands_request(std::uint64_t fencing_token, std::uint64_t incarnation,
+                      const std::vector<core::WorkerCommand>& commands) {
+    return {{"baton", fencing_token}, {"stint", incarnation}, {"calls", command_list(commands)}};
 }
 
-Json home_answer(const std::string& label) {
+Json redirect_response(const std::string& label) {
     if (label.empty()) return Json::object();
     return {{"home", label}};
 }
@@ -336,11 +338,11 @@
     return out;
 }
 
-std::optional<RentalPage> parse_rentals(const Json& v) {
+std::optional<InstancePage> parse_instances(const Json& v) {
     const Json* items = list(v, "perches");
     const auto more = flag(v, "hasNext");
     if (items == nullptr || !more) return std::nullopt;
-    RentalPage page;
+    InstancePage page;
     page.more = *more;
     for (const auto& i : *items) {
         const auto id = text(i, "id");
@@ -349,17 +351,17 @@
         const auto spot = flag(i, "borrowed");
         const auto state = text(i, "status");
         if (!id || !type || !zone || !spot || !state) return std::nullopt;
-        core::Rental r;
+        core::Instance r;
         r.machine = *id;
         r.address = text(i, "address").value_or("");
         r.type = *type;
         r.zone = *zone;
         r.spot = *spot;
-        r.state = *state == "running"  ? core::RentalState::running
-                  : *state == "failed" ? core::RentalState::failed
-                                       : core::RentalState::booting;
+        r.state = *state == "running"  ? core::InstanceState::running
+                  : *state == "failed" ? core::InstanceState::failed
+                                       : core::InstanceState::booting;
         r.age_s = number(i, "heldS").value_or(0);
-        page.rentals.push_back(std::move(r));
+        page.instances.push_back(std::move(r));
     }
     return page;
 }
@@ -382,9 +384,9 @@
     page.more = flag(v, "hasNext").value_or(false);
     for (const auto& i : *items) {
         const auto key = text(i, "path");
-        const auto stamp = whole(i, "stamp");
-        if (!key || !stamp || !i.contains("v")) return std::nullopt;
-        page.items.push_back({*key, i["v"], *stamp});
+        const auto mod_revision = whole(i, "stamp");
+        if (!key || !mod_revision || !i.contains("v")) return std::nullopt;
+        page.items.push_back({*key, i["v"], *mod_revision});
     }
     return page;
 }
@@ -396,13 +398,13 @@
     StorePage page;
     page.revision = *revision;
     for (const auto& i : *items) {
-        const auto stamp = whole(i, "stamp");
-        if (!stamp) return std::nullopt;
+        const auto mod_revision = whole(i, "stamp");
+        if (!mod_revision) return std::nullopt;
         if (const auto put = text(i, "write")) {
             if (!i.contains("v")) return std::nullopt;
-            page.items.push_back({*put, i["v"], *stamp});
+            page.items.push_back({*put, i["v"], *mod_revision});
         } else if (const auto gone = text(i, "delete")) {
-            page.items.push_back({*gone, std::nullopt, *stamp});
+            page.items.push_back({*gone, std::nullopt, *mod_revision});
         } else {
             return std::nullopt;
         }
@@ -422,7 +424,8 @@
 
 Json transaction_request(const Transaction& t) {
     Json when = Json::array();
-    for (const auto& [key, stamp] : t.conditions) when.push_back({{"path", key}, {"stamp", stamp}});
+    for (const auto& [key, mod_revision] : t.conditions)
+        when.push_back({{"path", key}, {"stamp", mod_revision}});
     Json writes = Json::array();
     for (const auto& w : t.writes) {
         if (!w.value) {
@@ -430,7 +433,7 @@
             continue;
         }
         Json put{{"write", w.key}, {"v", *w.value}};
-        if (w.grant != 0) put["tenure"] = w.grant;
+        if (w.store_lease != 0) put["tenure"] = w.store_lease;
         writes.push_back(std::move(put));
     }
     return {{"when", std::move(when)}, {"writes", std::move(writes)}};
@@ -442,9 +445,9 @@
            {"kind", static_cast<int>(j.kind)},
            {"prio", static_cast<int>(j.priority)},
            {"tasks", j.tasks},
-           {"cpus", j.need.cpus},
-           {"gpus", j.need.gpus},
-           {"mem", j.need.memory_gb},
+           {"cpus", j.resources.cpus},
+           {"gpus", j.resources.gpus},
+           {"mem", j.resources.memory_gb},
            {"image", j.image},
            {"igb", j.image_gb},
            {"flags", (j.one_zone ? 1 : 0) | (j.spread ? 2 : 0) | (j.spot ? 4 : 0)},
@@ -457,15 +460,15 @@
     if (j.deadline_s) v["due"] = *j.deadline_s;
     if (j.cancelled) v["cancelled"] = j.cancelled_at.count();
     if (j.waiting()) {
-        v["awaits"] = j.awaits;
+        v["awaits"] = j.dependencies;
         v["later_team"] = j.team_once_released;
-        if (j.await_parts > 0) {
+        if (j.dependency_parts > 0) {
             v["awaits"] = Json::array();
-            v["await_list"] = j.await_list;
-            v["await_parts"] = j.await_parts;
+            v["await_list"] = j.dependency_list;
+            v["await_parts"] = j.dependency_parts;
         }
     }
-    add_later_fields(v, j.later_fields);
+    add_later_fields(v, j.unknown_fields);
     return v;
 }
 
@@ -489,7 +492,7 @@
     j.kind = static_cast<core::JobKind>(*kind);
     j.priority = static_cast<core::Priority>(*prio);
     j.tasks = static_cast<std::uint32_t>(*tasks);
-    j.need = {*cpus, number(v, "gpus").value_or(0), number(v, "mem").value_or(0)};
+    j.resources = {*cpus, number(v, "gpus").value_or(0), number(v, "mem").value_or(0)};
     j.image = text(v, "image").value_or("");
     j.image_gb = number(v, "igb").value_or(0);
     j.one_zone = (*flags & 1U) != 0;
@@ -507,17 +510,17 @@
     j.deadline_s = number(v, "due");
     j.team_once_released = text(v, "later_team").value_or("");
     if (present(v, "awaits")) {
-        auto awaits = texts(list(v, "awaits"));
-        if (!awaits) return std::nullopt;
-        j.awaits = std::move(*awaits);
+        auto dependencies = texts(list(v, "awaits"));
+        if (!dependencies) return std::nullopt;
+        j.dependencies = std::move(*dependencies);
     }
-    j.await_list = text(v, "await_list").value_or("");
-    j.await_parts = static_cast<std::uint32_t>(whole(v, "await_parts").value_or(0));
+    j.dependency_list = text(v, "await_list").value_or("");
+    j.dependency_parts = static_cast<std::uint32_t>(whole(v, "await_parts").value_or(0));
     if (const auto c = whole(v, "cancelled")) {
         j.cancelled = true;
         j.cancelled_at = core::Micros{static_cast<std::int64_t>(*c)};
     }
-    j.later_fields = fields_beside(kJobFields, v);
+    j.unknown_fields = fields_beside(kJobFields, v);
     return j;
 }
 
@@ -547,11 +550,12 @@
 Json chunk_record(const core::Chunk& c) {
     Json done = Json::array();
     for (const auto& [from, to] : c.done.ranges()) done.push_back({from, to});
-    // By machine and session, since a job's tasks share machines: [machine, session, "task.attempt,..."]. The
-    // size of what is written decides how many jobs share a write, and of what is read how long that takes.
+    // By machine and incarnation, since a job's tasks share machines: [machine, incarnation,
+    // "task.attempt,..."]. The size of what is written decides how many jobs share a write, and of what is
+    // read how long that takes.
     std::map<std::pair<std::string_view, std::uint64_t>, std::string> by_machine;
     for (const auto& [task, a] : c.open) {
-        std::string& text = by_machine[{a.machine, a.session}];
+        std::string& text = by_machine[{a.machine, a.incarnation}];
         if (!text.empty()) text += ',';
         text += std::to_string(task) + '.' + std::to_string(a.number);
     }
@@ -562,9 +566,9 @@
 
 // One check after the other, each for a part of the record.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity)
-std::optional<core::Chunk> parse_chunk_record(const Json& v, core::Stamp stamp) {
+std::optional<core::Chunk> parse_chunk_record(const Json& v, core::Revision mod_revision) {
     core::Chunk c;
-    c.stamp = stamp;
+    c.mod_revision = mod_revision;
     const Json* done = list(v, "d");
     const Json* open = list(v, "o");
     const auto last = whole(v, "n");
@@ -609,17 +613,17 @@
 
 Json epoch_record(const core::Epoch& e) {
     Json members = Json::array();
-    for (const auto& m : e.members) members.push_back({m.label, m.grant});
+    for (const auto& m : e.members) members.push_back({m.label, m.store_lease});
     Json record{{"number", e.number},
                 {"leader", e.leader},
                 {"members", std::move(members)},
-                {"owners", e.owners},
+                {"owners", e.shard_owners},
                 {"removed", e.removed_at.count()}};
-    add_later_fields(record, e.later_fields);
+    add_later_fields(record, e.unknown_fields);
     return record;
 }
 
-std::optional<core::Epoch> parse_epoch_record(const Json& v, core::Stamp stamp) {
+std::optional<core::Epoch> parse_epoch_record(const Json& v, core::Revision mod_revision) {
     core::Epoch e;
     const auto number = whole(v, "number");
     const auto leader = text(v, "leader");
@@ -632,7 +636,7 @@
     e.number = *number;
     e.leader = *leader;
     e.removed_at = core::Micros{static_cast<std::int64_t>(*removed)};
-    e.stamp = stamp;
+    e.mod_revision = mod_revision;
     for (const auto& m : *members) {
         if (!m.is_array() || m.size() != 2 || !m[0].is_string() || !m[1].is_number_unsigned())
             return std::nullopt;
@@ -640,9 +644,9 @@
     }
     for (const auto& [team, owner] : v["owners"].items()) {
         if (!owner.is_string()) return std::nullopt;
-        e.owners[team] = owner.get<std::string>();
+        e.shard_owners[team] = owner.get<std::string>();
     }
-    e.later_fields = fields_beside(kEpochFields, v);
+    e.unknown_fields = fields_beside(kEpochFields, v);
     return e;
 }
 
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "core/epoch.hpp"
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 #include "core/model.hpp"
 #include "wire/cbor.hpp"
 
@@ -27,21 +27,22 @@
 Json job_answer(const std::string& id, JobStatus s, std::uint32_t done, std::uint32_t running);
 
 // --- workers ---
-std::optional<core::WorkerReport> parse_report(const Json& v);
-Json order_list(const std::vector<core::Order>& orders);
-Json report_answer(std::uint64_t token, const std::vector<core::Order>& orders = {});
-Json orders_request(std::uint64_t token, std::uint64_t session, const std::vector<core::Order>& orders);
-Json home_answer(const std::string& label);
+std::optional<core::WorkerHeartbeat> parse_worker_heartbeat(const Json& v);
+Json command_list(const std::vector<core::WorkerCommand>& commands);
+Json heartbeat_response(std::uint64_t fencing_token, const std::vector<core::WorkerCommand>& commands = {});
+Json commands_request(std::uint64_t fencing_token, std::uint64_t incarnation,
+                      const std::vector<core::WorkerCommand>& commands);
+Json redirect_response(const std::string& label);
 std::string task_name(const std::string& job, std::uint32_t task);
 std::optional<std::pair<std::string, std::uint32_t>> parse_task_name(std::string_view name);
 
 // --- cloud ---
 std::optional<core::Catalog> parse_catalog(const Json& v);
-struct RentalPage {
-    std::vector<core::Rental> rentals;
+struct InstancePage {
+    std::vector<core::Instance> instances;
     bool more = false;
 };
-std::optional<RentalPage> parse_rentals(const Json& v);
+std::optional<InstancePage> parse_instances(const Json& v);
 std::optional<std::vector<std::string>> parse_rented(const Json& v);
 Json rent_request(const std::string& name, const std::string& type, const std::string& zone, bool spot,
                   std::uint32_t number);
@@ -51,23 +52,23 @@
 struct StoreItem {
     std::string key;
     std::optional<Json> value;  // none: deleted
-    core::Stamp stamp = 0;
+    core::Revision mod_revision = 0;
 };
 struct StorePage {
     std::vector<StoreItem> items;
     bool more = false;
-    core::Stamp revision = 0;
+    core::Revision revision = 0;
 };
 std::optional<StorePage> parse_page(const Json& v);
 std::optional<StorePage> parse_watch(const Json& v);
 
 struct Write {
     std::string key;
-    std::optional<Json> value;  // none: delete
-    std::uint64_t grant = 0;    // 0: not attached
+    std::optional<Json> value;      // none: delete
+    std::uint64_t store_lease = 0;  // 0: not attached
 };
 struct Transaction {
-    std::vector<std::pair<std::string, core::Stamp>> conditions;
+    std::vector<std::pair<std::string, core::Revision>> conditions;
     std::vector<Write> writes;
 };
 Json transaction_request(const Transaction& t);
@@ -81,9 +82,9 @@
 Json job_ids_record(const std::vector<std::string>& ids);
 std::optional<std::vector<std::string>> parse_job_ids_record(const Json& v);
 Json chunk_record(const core::Chunk& c);
-std::optional<core::Chunk> parse_chunk_record(const Json& v, core::Stamp stamp);
+std::optional<core::Chunk> parse_chunk_record(const Json& v, core::Revision mod_revision);
 Json epoch_record(const core::Epoch& e);
-std::optional<core::Epoch> parse_epoch_record(const Json& v, core::Stamp stamp);
+std::optional<core::Epoch> parse_epoch_record(const Json& v, core::Revision mod_revision);
 Json page_record(const std::map<core::ChunkKey, const core::Chunk*>& chunks);
 std::optional<std::map<core::ChunkKey, core::Chunk>> parse_page_record(const Json& v);
 Json names_record(const std::set<std::string>& names);
--- a/src/wire/mesh_codec.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -1,4 +1,4 @@
-#include "wire/mesh_codec.hpp"
+#include "wire/peer_protocol.hpp"
 
 #include <array>
 #include <bit>
@@ -9,14 +9,14 @@
 namespace {
 
 enum class Kind : std::uint8_t {
-    hello = 1,
-    heartbeat = 2,
-    report = 3,
-    ask = 4,
-    promise = 5,
-    hold = 6,
-    alive = 7,
-    cancel = 8,
+    handshake = 1,
+    peer_heartbeat = 2,
+    worker_status = 3,
+    lease_extension_request = 4,
+    lease_extension_vote = 5,
+    capacity_reservation = 6,
+    worker_keep_alive = 7,
+    cancellation = 8,
 };
 
 class Writer {
@@ -105,27 +105,27 @@
     bool ok_ = true;
 };
 
-void put(Writer& w, const std::vector<CancelNotice>& cancels) {
-    w.u(cancels.size());
-    for (const auto& notice : cancels) {
+void put(Writer& w, const std::vector<CancellationNotice>& cancellations) {
+    w.u(cancellations.size());
+    for (const auto& notice : cancellations) {
         w.s(notice.job);
         w.u(notice.revision);
         w.i(notice.cancelled_us);
     }
 }
-void put(Writer& w, const MeshCancel& m) { put(w, m.cancels); }
-void put(Writer& w, const MeshHello& m) {
+void put(Writer& w, const CancellationBroadcast& m) { put(w, m.cancellations); }
+void put(Writer& w, const PeerHandshake& m) {
     w.u(m.version);
     w.s(m.label);
 }
-void put(Writer& w, const MeshHeartbeat& m) {
+void put(Writer& w, const PeerHeartbeat& m) {
     w.s(m.label);
-    w.u(m.grant);
+    w.u(m.store_lease);
     w.i(m.wall_us);
     w.u(m.epoch);
     w.b(m.state_ok);
-    w.b(m.fit);
-    w.b(m.acting);
+    w.b(m.healthy);
+    w.b(m.holds_leadership);
     w.u(m.answered.size());
     for (const auto& [machine, at] : m.answered) {
         w.s(machine);
@@ -142,19 +142,19 @@
     w.u(m.unanswered.size());
     for (const auto& a : m.unanswered) w.s(a);
     w.u(m.revision);
-    put(w, m.cancels);
+    put(w, m.cancellations);
     w.u(m.capabilities);
 }
-void put(Writer& w, const MeshReport& m) {
-    const auto& r = m.report;
+void put(Writer& w, const WorkerStatusUpdate& m) {
+    const auto& r = m.heartbeat;
     w.s(r.machine);
     w.s(r.address);
     w.s(r.type);
     w.s(r.zone);
     w.b(r.spot);
-    w.u(r.session);
-    w.u(r.tick);
-    w.u(r.token);
+    w.u(r.incarnation);
+    w.u(r.heartbeat_sequence);
+    w.u(r.fencing_token);
     w.b(r.notice_s.has_value());
     if (r.notice_s) w.f(*r.notice_s);
     w.i(m.heard_us);
@@ -174,26 +174,26 @@
     }
     w.b(m.confirmed);
 }
-void put(Writer& w, const MeshAlive& m) {
+void put(Writer& w, const WorkerKeepAlive& m) {
     w.s(m.machine);
-    w.u(m.session);
-    w.u(m.tick);
-    w.u(m.token);
-    w.u(m.content_tick);
+    w.u(m.incarnation);
+    w.u(m.heartbeat_sequence);
+    w.u(m.fencing_token);
+    w.u(m.content_sequence);
     w.i(m.heard_us);
 }
-void put(Writer& w, const MeshAsk& m) {
+void put(Writer& w, const LeaseExtensionRequest& m) {
     w.u(m.number);
     w.u(m.life_us);
     w.u(m.revision);
 }
-void put(Writer& w, const MeshPromise& m) {
+void put(Writer& w, const LeaseExtensionVote& m) {
     w.u(m.number);
     w.b(m.given);
-    put(w, m.cancels);
+    put(w, m.cancellations);
 }
 
-void put(Writer& w, const MeshHold& m) {
+void put(Writer& w, const CapacityReservationNotice& m) {
     w.s(m.machine);
     w.s(m.job);
     w.u(m.task);
@@ -204,27 +204,27 @@
     w.b(m.waiting);
 }
 
-std::vector<CancelNotice> get_cancels(Reader& r) {
-    std::vector<CancelNotice> cancels;
+std::vector<CancellationNotice> get_cancels(Reader& r) {
+    std::vector<CancellationNotice> cancellations;
     for (auto n = r.optional_count(); n > 0 && r.ok(); --n) {
-        CancelNotice notice;
+        CancellationNotice notice;
         notice.job = r.s();
         notice.revision = r.u();
         notice.cancelled_us = r.i();
-        cancels.push_back(std::move(notice));
+        cancellations.push_back(std::move(notice));
     }
-    return cancels;
+    return cancellations;
 }
 
-MeshHeartbeat get_heartbeat(Reader& r) {
-    MeshHeartbeat m;
+PeerHeartbeat get_heartbeat(Reader& r) {
+    PeerHeartbeat m;
     m.label = r.s();
-    m.grant = r.u();
+    m.store_lease = r.u();
     m.wall_us = r.i();
     m.epoch = r.u();
     m.state_ok = r.b();
-    m.fit = r.b();
-    m.acting = r.b();
+    m.healthy = r.b();
+    m.holds_leadership = r.b();
     for (auto n = r.count(); n > 0 && r.ok(); --n) {
         auto machine = r.s();
         const auto age = r.i();
@@ -237,26 +237,26 @@
     m.workers = r.u();
     for (auto n = r.count(); n > 0 && r.ok(); --n) m.unanswered.push_back(r.s());
     m.revision = r.optional_u();
-    m.cancels = get_cancels(r);
+    m.cancellations = get_cancels(r);
     m.capabilities = r.optional_u();
     return m;
 }
 
-std::optional<MeshReport> get_report(Reader& r) {
-    MeshReport m;
-    auto& w = m.report;
+std::optional<WorkerStatusUpdate> get_worker_status(Reader& r) {
+    WorkerStatusUpdate m;
+    auto& w = m.heartbeat;
     w.machine = r.s();
     w.address = r.s();
     w.type = r.s();
     w.zone = r.s();
     w.spot = r.b();
-    w.session = r.u();
-    w.tick = r.u();
-    w.token = r.u();
+    w.incarnation = r.u();
+    w.heartbeat_sequence = r.u();
+    w.fencing_token = r.u();
     if (r.b()) w.notice_s = r.f();
     m.heard_us = r.i();
     for (auto n = r.count(); n > 0 && r.ok(); --n) {
-        core::TaskReport t;
+        core::TaskStatus t;
         t.job = r.s();
         t.task = static_cast<std::uint32_t>(r.u());
         t.attempt = r.u();
@@ -280,42 +280,42 @@
     return m;
 }
 
-std::optional<MeshMessage> parse(std::string_view payload) {
+std::optional<PeerMessage> parse(std::string_view payload) {
     if (payload.empty()) return std::nullopt;
     Reader r{payload.substr(1)};
-    std::optional<MeshMessage> out;
+    std::optional<PeerMessage> out;
     switch (static_cast<Kind>(payload[0])) {
-        case Kind::hello: {
-            MeshHello m;
+        case Kind::handshake: {
+            PeerHandshake m;
             m.version = r.u();
             m.label = r.s();
             out = m;
             break;
         }
-        case Kind::heartbeat:
+        case Kind::peer_heartbeat:
             out = get_heartbeat(r);
             break;
-        case Kind::report:
-            if (auto m = get_report(r)) out = std::move(*m);
+        case Kind::worker_status:
+            if (auto m = get_worker_status(r)) out = std::move(*m);
             break;
-        case Kind::ask: {
-            MeshAsk m;
+        case Kind::lease_extension_request: {
+            LeaseExtensionRequest m;
             m.number = r.u();
             m.life_us = r.u();
             m.revision = r.optional_u();
             out = m;
             break;
         }
-        case Kind::promise: {
-            MeshPromise m;
+        case Kind::lease_extension_vote: {
+            LeaseExtensionVote m;
             m.number = r.u();
             m.given = r.b();
-            m.cancels = get_cancels(r);
+            m.cancellations = get_cancels(r);
             out = m;
             break;
         }
-        case Kind::hold: {
-            MeshHold m;
+        case Kind::capacity_reservation: {
+            CapacityReservationNotice m;
             m.machine = r.s();
             m.job = r.s();
             m.task = static_cast<std::uint32_t>(r.u());
@@ -327,19 +327,19 @@
             out = m;
             break;
         }
-        case Kind::alive: {
-            MeshAlive m;
+        case Kind::worker_keep_alive: {
+            WorkerKeepAlive m;
             m.machine = r.s();
-            m.session = r.u();
-            m.tick = r.u();
-            m.token = r.u();
-            m.content_tick = r.u();
+            m.incarnation = r.u();
+            m.heartbeat_sequence = r.u();
+            m.fencing_token = r.u();
+            m.content_sequence = r.u();
             m.heard_us = r.i();
             out = m;
             break;
         }
-        case Kind::cancel:
-            out = MeshCancel{get_cancels(r)};
+        case Kind::cancellation:
+            out = CancellationBroadcast{get_cancels(r)};
             break;
     }
     if (!r.ok()) return std::nullopt;
@@ -348,15 +348,21 @@
 
 }  // namespace
 
-std::string encode_frame(const MeshMessage& m) {
-    static constexpr std::array kinds = {Kind::hello,   Kind::heartbeat, Kind::report, Kind::ask,
-                                         Kind::promise, Kind::hold,      Kind::alive,  Kind::cancel};
+std::string encode_frame(const PeerMessage& m) {
+    static constexpr std::array kinds = {Kind::handshake,
+                                         Kind::peer_heartbeat,
+                                         Kind::worker_status,
+                                         Kind::lease_extension_request,
+                                         Kind::lease_extension_vote,
+                                         Kind::capacity_reservation,
+                                         Kind::worker_keep_alive,
+                                         Kind::cancellation};
     Writer w{kinds[m.index()]};
     std::visit([&](const auto& v) { put(w, v); }, m);
     return w.frame();
 }
 
-std::optional<MeshMessage> FrameReader::next() {
+std::optional<PeerMessage> FrameReader::next() {
     if (broken_) return std::nullopt;
     const std::string_view left = std::string_view(buffer_).substr(at_);
     std::uint64_t length = 0;
@@ -372,7 +378,7 @@
             return std::nullopt;
         }
     }
-    if (length == 0 || length > kMeshFrameBytes) {
+    if (length == 0 || length > kMaxFrameBytes) {
         broken_ = true;
         return std::nullopt;
     }
--- a/tests/attempt_pages_test.cpp
+++ b/tests/attempt_pages_test.cpp
@@ -1,21 +1,21 @@
 // How attempts share pages, and which pages are written when the budget is short.
 #include <gtest/gtest.h>
 
-#include "service/attempt_page_writer.hpp"
-#include "service/page_assignment.hpp"
+#include "scheduling/attempt_page_writer.hpp"
+#include "scheduling/page_assignment.hpp"
 #include "support.hpp"
 
 namespace hatchwind {
 namespace {
 
+using controller::WriteRank;
 using core::Micros;
-using service::WriteRank;
 
 constexpr std::uint32_t kTasks = core::kChunkTasks;
 constexpr std::uint32_t kTasksOfOneMachine = 16;
 
-service::Settings settings_of_small_values() {
-    service::Settings settings;
+controller::Settings settings_of_small_values() {
+    controller::Settings settings;
     settings.label = "n0";
     settings.memory_mb = 64;
     settings.max_connections = 100;
@@ -31,20 +31,20 @@
 class AttemptPages : public ::testing::Test {
   protected:
     AttemptPages()
-        : settings_(settings_of_small_values()), node_(loop_, settings_, service::tune({}, settings_)) {
-        node_.epoch.owners["x"] = "n0";
+        : settings_(settings_of_small_values()), node_(loop_, settings_, controller::tune({}, settings_)) {
+        node_.epoch.shard_owners["x"] = "n0";
     }
 
     void accept(int number, std::uint32_t tasks = kTasks) {
-        node_.ledger.put_job(test::job(name(number), "x", tasks, 1), ++stamp_);
+        node_.job_table.put_job(test::job(name(number), "x", tasks, 1), ++mod_revision_);
     }
     static std::string name(int number) { return "req-" + std::to_string(100 + number); }
 
     // All tasks of the job, on as few machines as they need.
-    service::StagedRecords starts(const std::vector<int>& jobs) const {
-        service::StagedRecords staged;
+    controller::StagedRecords starts(const std::vector<int>& jobs) const {
+        controller::StagedRecords staged;
         for (const int job : jobs) {
-            const core::JobEntry& entry = *node_.ledger.find(name(job));
+            const core::JobEntry& entry = *node_.job_table.find(name(job));
             for (std::uint32_t task = 0; task < entry.job.tasks; ++task) {
                 const std::string machine = "n-00" + std::to_string(1000 + task / kTasksOfOneMachine);
                 staged.start(entry, {name(job), task, {1, machine, 1}});
@@ -55,26 +55,26 @@
 
     void record_running(int job, std::uint32_t task) {
         core::Chunk chunk;
-        chunk.stamp = ++stamp_;
+        chunk.mod_revision = ++mod_revision_;
         chunk.open[task] = {1, "n-1", 1};
         chunk.last_attempt = 1;
         chunk.page = 1;
-        node_.ledger.put_chunk(name(job), 0, chunk);
+        node_.job_table.put_chunk(name(job), 0, chunk);
     }
 
     // How urgent it is to record that the task is done.
     WriteRank rank_of_completion(int job, std::uint32_t task, Micros now) {
-        const core::JobEntry& entry = *node_.ledger.find(name(job));
-        service::StagedRecords staged;
-        staged.close({entry, task, *node_.ledger.open_attempt(name(job), task)}, true);
+        const core::JobEntry& entry = *node_.job_table.find(name(job));
+        controller::StagedRecords staged;
+        staged.close({entry, task, *node_.job_table.open_attempt(name(job), task)}, true);
         return writer_.units(staged, now).front().rank;
     }
 
     io::Loop loop_;
-    service::Settings settings_;
-    service::Node node_;
-    service::AttemptPageWriter writer_{node_};
-    core::Stamp stamp_ = 0;
+    controller::Settings settings_;
+    controller::Node node_;
+    controller::AttemptPageWriter writer_{node_};
+    core::Revision mod_revision_ = 0;
 };
 
 TEST_F(AttemptPages, TasksThatShareMachinesShareAPage) {
@@ -85,13 +85,13 @@
         jobs.push_back(job);
     }
     auto staged = starts(jobs);
-    const auto pages = service::assign_pages(node_, staged, {});
+    const auto pages = controller::assign_pages(node_, staged, {});
     // With the worst for each task, each of these jobs took a page of its own.
     EXPECT_LE(pages.size(), 2U);
     for (const auto& [page, chunks] : pages) {
-        service::PageContent content;
+        controller::PageContent content;
         for (const auto& chunk : chunks) content[chunk] = &staged.chunks.at(chunk).chunk;
-        EXPECT_LE(service::page_bytes(content), settings_.value_limit());
+        EXPECT_LE(controller::page_bytes(content), settings_.value_limit());
     }
 }
 
@@ -107,11 +107,11 @@
 TEST_F(AttemptPages, CompletionsOfATeamNearItsLimitAreOverdueSooner) {
     accept(0, 900);
     core::Chunk chunk;
-    chunk.stamp = ++stamp_;
+    chunk.mod_revision = ++mod_revision_;
     for (std::uint32_t task = 0; task < 900; ++task) chunk.open[task] = {1, "n-1", 1};
     chunk.last_attempt = 1;
     chunk.page = 1;
-    node_.ledger.put_chunk(name(0), 0, chunk);
+    node_.job_table.put_chunk(name(0), 0, chunk);
     EXPECT_EQ(rank_of_completion(0, 0, Micros{1'000'000}), WriteRank::completion);
     EXPECT_EQ(rank_of_completion(0, 0, Micros{6'000'000}), WriteRank::overdue_completion);
 }
--- a/tests/emulator_models_test.cpp
+++ b/tests/emulator_models_test.cpp
@@ -354,9 +354,10 @@
         co_await loop.sleep(at(seconds));
         loop.stop();
     }
-    io::Task<void> command_after(double seconds, std::uint64_t token, std::uint64_t session, Json calls) {
+    io::Task<void> command_after(double seconds, std::uint64_t fencing_token, std::uint64_t incarnation,
+                                 Json calls) {
         co_await loop.sleep(at(seconds));
-        const Json body{{"baton", token}, {"stint", session}, {"calls", std::move(calls)}};
+        const Json body{{"baton", fencing_token}, {"stint", incarnation}, {"calls", std::move(calls)}};
         const Micros deadline = io::steady_now() + at(10);
         auto sending = client.send(worker_address, "POST", "/orders", wire::encode(body), deadline);
         const io::HttpReply reply = co_await std::move(sending);
@@ -399,16 +400,16 @@
 
 TEST_F(WorkerTest, AnAnsweredWorkerKeepsItsSessionAndLearnsTheToken) {
     play(1);
-    EXPECT_EQ(worker->session(), 1U);
-    EXPECT_EQ(worker->token(), 5U);
+    EXPECT_EQ(worker->incarnation(), 1U);
+    EXPECT_EQ(worker->fencing_token(), 5U);
     EXPECT_GE(reports.size(), 5U);
 }
 
 TEST_F(WorkerTest, AnswersWithALowerTokenOrNoneDoNotRenewTheLease) {
     scope.spawn(command_after(0.1, 9, 1, start_call(0)));
     play(0.9);
-    EXPECT_EQ(worker->token(), 9U);
-    EXPECT_GE(worker->session(), 2U);
+    EXPECT_EQ(worker->fencing_token(), 9U);
+    EXPECT_GE(worker->incarnation(), 2U);
     EXPECT_TRUE(watcher.saw("gone from n-1: lease over"));
 }
 
@@ -446,7 +447,7 @@
         EXPECT_EQ(worker->tasks().size(), 1U);
     });
     play(1.1);
-    EXPECT_EQ(worker->session(), 3U);
+    EXPECT_EQ(worker->incarnation(), 3U);
     EXPECT_TRUE(worker->tasks().empty());
 }
 
@@ -455,8 +456,8 @@
     scope.spawn(command_after(0.05, 5, 1, start_call(0)));
     play(0.6);
     EXPECT_FALSE(reports.empty());
-    EXPECT_EQ(worker->token(), 0U);
-    EXPECT_EQ(worker->session(), 2U);
+    EXPECT_EQ(worker->fencing_token(), 0U);
+    EXPECT_EQ(worker->incarnation(), 2U);
     EXPECT_TRUE(worker->tasks().empty());
 }
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -26,8 +26,8 @@
 
 constexpr Micros seconds(double s) { return Micros{static_cast<std::int64_t>(s * 1e6)}; }
 
-service::Settings common_settings() {
-    service::Settings settings;
+controller::Settings common_settings() {
+    controller::Settings settings;
     settings.zones = {"a", "b", "c"};
     for (const char* team : {"x", "y", "z"}) settings.teams[team] = {team, 8, 16, 0, 0};
     settings.report_s = 2;
@@ -121,9 +121,9 @@
 };
 
 // One client of the state service, whose requests the test waits for.
-class StateClient {
+class StoreClient {
   public:
-    StateClient(World& world, emulator::StateService& state, const std::string& name)
+    StoreClient(World& world, emulator::StateService& state, const std::string& name)
         : world_(world),
           host_(world.add_host(name)),
           address_(state.address_for(name)),
@@ -148,16 +148,17 @@
         world_.run_until(world_.now() + wait + seconds(1), [&] { return answer->over; });
         return *answer;
     }
-    Answer put(const std::string& key, const Json& value, std::optional<std::uint64_t> grant = std::nullopt) {
+    Answer put(const std::string& key, const Json& value,
+               std::optional<std::uint64_t> store_lease = std::nullopt) {
         Json write{{"write", key}, {"v", value}};
-        if (grant) write["tenure"] = *grant;
+        if (store_lease) write["tenure"] = *store_lease;
         return ask("POST", "/commit", {{"writes", Json::array({write})}});
     }
-    std::uint64_t grant(int life_ms) {
+    std::uint64_t store_lease(int life_ms) {
         return ask("POST", "/grants", {{"lifeMs", life_ms}}).body["tenure"].get<std::uint64_t>();
     }
-    int renew(std::uint64_t grant) {
-        return ask("POST", "/grants/" + std::to_string(grant) + "/renew").status;
+    int renew_lease(std::uint64_t store_lease) {
+        return ask("POST", "/grants/" + std::to_string(store_lease) + "/renew").status;
     }
     int get(const std::string& key) { return ask("GET", "/store/" + key).status; }
 
@@ -189,8 +190,8 @@
           other(world, state, "other") {}
     World world;
     emulator::StateService state;
-    StateClient one;
-    StateClient other;
+    StoreClient one;
+    StoreClient other;
 };
 
 std::size_t count_of(std::string_view text, std::string_view part) {
@@ -411,49 +412,49 @@
 
 TEST(EmulatedState, GrantEndsWithinATenthOfASecondNeverEarlyAndTakesItsKeys) {
     StateWorld w;
-    const auto grant = w.one.grant(1000);
-    ASSERT_EQ(w.one.put("mine", 1, grant).status, 200);
+    const auto store_lease = w.one.store_lease(1000);
+    ASSERT_EQ(w.one.put("mine", 1, store_lease).status, 200);
     const Micros renewed = w.world.now();
-    ASSERT_EQ(w.one.renew(grant), 200);
+    ASSERT_EQ(w.one.renew_lease(store_lease), 200);
     w.world.run_until(renewed + seconds(0.99));
-    EXPECT_TRUE(w.state.store().has_grant(grant));
+    EXPECT_TRUE(w.state.store().has_grant(store_lease));
     w.world.run_until(renewed + seconds(1.2));
-    EXPECT_FALSE(w.state.store().has_grant(grant));
+    EXPECT_FALSE(w.state.store().has_grant(store_lease));
     EXPECT_EQ(w.one.get("mine"), 404);
-    EXPECT_EQ(w.one.renew(grant), 404);
-    EXPECT_EQ(w.one.put("mine", 1, grant).status, 400);
+    EXPECT_EQ(w.one.renew_lease(store_lease), 404);
+    EXPECT_EQ(w.one.put("mine", 1, store_lease).status, 400);
 }
 
 TEST(EmulatedState, OutageAnswers503GivesGrantsFullTimeAndKeepsWatchesOpen) {
     StateWorld w;
-    const auto grant = w.one.grant(1000);
-    ASSERT_EQ(w.one.put("a/1", 1, grant).status, 200);
+    const auto store_lease = w.one.store_lease(1000);
+    ASSERT_EQ(w.one.put("a/1", 1, store_lease).status, 200);
     const auto watch = w.other.send("GET", "/watch?starts=a/&after=1&blockMs=2000", nullptr, seconds(60));
     w.world.run_for(seconds(0.5));
     w.state.set_outage(true);
     EXPECT_EQ(w.one.get("a/1"), 503);
-    EXPECT_EQ(w.other.renew(grant), 503);
+    EXPECT_EQ(w.other.renew_lease(store_lease), 503);
     w.world.run_for(seconds(20));
-    EXPECT_TRUE(w.state.store().has_grant(grant));
+    EXPECT_TRUE(w.state.store().has_grant(store_lease));
     EXPECT_FALSE(watch->over);  // longer than its blockMs
     const Micros end = w.world.now();
     w.state.set_outage(false);
     w.world.run_until(end + seconds(0.95));
-    EXPECT_TRUE(w.state.store().has_grant(grant));
+    EXPECT_TRUE(w.state.store().has_grant(store_lease));
     w.world.run_until(end + seconds(1.2));
-    EXPECT_FALSE(w.state.store().has_grant(grant));
+    EXPECT_FALSE(w.state.store().has_grant(store_lease));
     EXPECT_TRUE(watch->over);
     EXPECT_EQ(watch->status, 200);
 }
 
 TEST(EmulatedState, RefusalOfOneNodeLeavesTheOthersServedAndItsGrantsRunOut) {
     StateWorld w;
-    const auto mine = w.one.grant(2000);
+    const auto mine = w.one.store_lease(2000);
     ASSERT_EQ(w.one.put("a/one", 1, mine).status, 200);
     const auto watch = w.one.send("GET", "/watch?starts=a/&after=1&blockMs=1000", nullptr, seconds(60));
     w.world.run_for(seconds(0.2));
     w.state.refuse("one", true);
-    EXPECT_EQ(w.one.renew(mine), 503);
+    EXPECT_EQ(w.one.renew_lease(mine), 503);
     EXPECT_EQ(w.one.get("a/one"), 503);
     EXPECT_EQ(w.other.get("a/one"), 200);
     const auto watched = w.other.send("GET", "/watch?starts=a/&after=1&blockMs=10000", nullptr, seconds(60));
@@ -495,7 +496,7 @@
     limits.requests_per_s = 20;
     limits.writes_per_s = 6;
     StateWorld w(limits);
-    std::vector<std::shared_ptr<StateClient::Answer>> answers;
+    std::vector<std::shared_ptr<StoreClient::Answer>> answers;
     w.world.run_for(seconds(2));
     for (int i = 0; i < 30; ++i) answers.push_back(w.one.send("GET", "/store/k"));
     w.world.run_for(seconds(0.1));
--- a/tests/epoch_test.cpp
+++ b/tests/epoch_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 using core::EpochInput;
+using core::LeadershipLease;
 using core::Micros;
-using core::NodeLease;
 using test::holds;
 
 constexpr Micros kLife{2'000'000};
@@ -31,7 +31,7 @@
                 if (*rc::gen::arbitrary<bool>()) members.emplace_back(m);
             }
             if (members.empty()) continue;
-            const auto out = core::assign_owners(ts, members, members.front(), before);
+            const auto out = core::assign_shards(ts, members, members.front(), before);
             RC_ASSERT(out.size() == ts.size());
             std::map<std::string, std::size_t> load;
             for (const auto& m : members) load[m] = 0;
@@ -43,33 +43,33 @@
                 RC_ASSERT(n >= ts.size() / members.size());
                 RC_ASSERT(n <= (ts.size() + members.size() - 1) / members.size());
             }
-            RC_ASSERT(core::assign_owners(ts, members, members.front(), out) == out);
+            RC_ASSERT(core::assign_shards(ts, members, members.front(), out) == out);
             before = out;
         }
     });
 }
 
-TEST(NodeLease, EndsBeforeTheGrantCouldAndNeedsEveryPromise) {
-    NodeLease m({"b", "c"});
+TEST(LeadershipLease, EndsBeforeTheGrantCouldAndNeedsEveryPromise) {
+    LeadershipLease m({"b", "c"});
     EXPECT_FALSE(m.alive(Micros{0}));
     m.renewed(Micros{10'000'000}, kLife);
     EXPECT_LT(m.until(), Micros{12'000'000});
     const Micros end = m.until();
-    m.promise("b", Micros{11'500'000}, kPromise, Micros{11'600'000});
+    m.record_vote("b", Micros{11'500'000}, kPromise, Micros{11'600'000});
     EXPECT_EQ(m.until(), end) << "one of two promises extends nothing";
-    m.promise("c", Micros{11'500'000}, kPromise, Micros{11'600'000});
+    m.record_vote("c", Micros{11'500'000}, kPromise, Micros{11'600'000});
     EXPECT_GT(m.until(), end);
     EXPECT_LT(m.until(), Micros{12'500'000});
     const Micros longer = m.until();
     // Too late: by now somebody may have removed this node, and then promised.
-    m.promise("b", Micros{12'600'000}, kPromise, Micros{12'600'000});
-    m.promise("c", Micros{12'600'000}, kPromise, Micros{12'600'000});
+    m.record_vote("b", Micros{12'600'000}, kPromise, Micros{12'600'000});
+    m.record_vote("c", Micros{12'600'000}, kPromise, Micros{12'600'000});
     EXPECT_EQ(m.until(), longer);
 }
 
 // Nodes, a store that they may each lose, messages that come late, repeated or never, crashes and restarts,
 // with the rules that the membership duty follows. No life may hold a node lease once an epoch without it is
-// written, and the token never falls.
+// written, and the fencing token never falls.
 class World {
   public:
     void run(int steps) {
@@ -110,37 +110,37 @@
   private:
     struct Life {
         core::Member self;
-        std::unique_ptr<NodeLease> node_lease;
+        std::unique_ptr<LeadershipLease> leadership_lease;
         Micros started{};
         Micros asked{};
         Micros failing{};  // 0: the last call was answered
-        std::map<std::string, Micros> promised;
-        std::optional<core::Stamp> unresolved;
+        std::map<std::string, Micros> protected_members;
+        std::optional<core::Revision> unresolved;
     };
     struct Write {
         core::EpochPlan plan;
-        core::Stamp on = 0;
+        core::Revision on = 0;
         Micros at{};
     };
 
     // A write of a life's own key that may be carried out late, or once more.
     struct KeyPut {
         std::string label;
-        std::uint64_t grant = 0;
-        core::Stamp on = 0;
+        std::uint64_t store_lease = 0;
+        core::Revision on = 0;
         Micros at{};
     };
 
     static std::string label(int i) { return std::string(1, static_cast<char>('a' + i)); }
     bool store_ok(int i) const { return !down_ && !refused_[i] && !cut_[i] && !deaf_[i]; }
-    core::Stamp key_stamp(const std::string& l) const {
+    core::Revision key_stamp(const std::string& l) const {
         const auto it = nodes_.find(l);
-        return it == nodes_.end() ? 0 : it->second.stamp;
+        return it == nodes_.end() ? 0 : it->second.mod_revision;
     }
     bool apply(const KeyPut& p) {
         // Conditional on the key as the writer saw it.
-        if (!grants_.contains(p.grant) || key_stamp(p.label) != p.on) return false;
-        nodes_[p.label] = {p.grant, ++revision_};
+        if (!grants_.contains(p.store_lease) || key_stamp(p.label) != p.on) return false;
+        nodes_[p.label] = {p.store_lease, ++revision_};
         return true;
     }
 
@@ -151,7 +151,7 @@
         for (int k = 0; k < 3; ++k) {
             if (k != i) others.push_back(label(k));
         }
-        l.node_lease = std::make_unique<NodeLease>(others);
+        l.leadership_lease = std::make_unique<LeadershipLease>(others);
         l.started = now_;
         lives_[i] = std::move(l);
     }
@@ -169,19 +169,19 @@
                 ++it;
                 continue;
             }
-            std::erase_if(nodes_, [&](const auto& n) { return n.second.grant == it->first; });
+            std::erase_if(nodes_, [&](const auto& n) { return n.second.store_lease == it->first; });
             it = grants_.erase(it);
         }
     }
     void apply(const Write& w) {
-        if (epoch_.stamp != w.on) return;
-        for (const auto& [l, stamp] : w.plan.node_conditions) {
+        if (epoch_.mod_revision != w.on) return;
+        for (const auto& [l, mod_revision] : w.plan.member_conditions) {
             const auto it = nodes_.find(l);
-            if ((it == nodes_.end() ? 0 : it->second.stamp) != stamp) return;
+            if ((it == nodes_.end() ? 0 : it->second.mod_revision) != mod_revision) return;
         }
         RC_ASSERT(w.plan.next.number > epoch_.number);
         epoch_ = w.plan.next;
-        epoch_.stamp = ++revision_;
+        epoch_.mod_revision = ++revision_;
     }
     void deliver() {
         if (down_) return;
@@ -206,59 +206,60 @@
         } else if (l.failing.count() == 0) {
             l.failing = now_;
         }
-        if (deaf_[i] && !down_ && !refused_[i] && l.self.grant != 0 && grants_.contains(l.self.grant)) {
-            grants_[l.self.grant] = now_ + kLife;  // a renewal of whose answer it hears nothing
+        if (deaf_[i] && !down_ && !refused_[i] && l.self.store_lease != 0 &&
+            grants_.contains(l.self.store_lease)) {
+            grants_[l.self.store_lease] = now_ + kLife;  // a renewal of whose answer it hears nothing
         }
-        if (reached && l.self.grant == 0) {
-            const std::uint64_t grant = ++next_grant_;
-            grants_[grant] = now_ + kLife;
-            const KeyPut put{l.self.label, grant, key_stamp(l.self.label),
+        if (reached && l.self.store_lease == 0) {
+            const std::uint64_t store_lease = ++next_grant_;
+            grants_[store_lease] = now_ + kLife;
+            const KeyPut put{l.self.label, store_lease, key_stamp(l.self.label),
                              now_ + Micros{*rc::gen::inRange(0, 4'000'000)}};
             const int luck = *rc::gen::inRange(0, 4);
             if (luck <= 1) late_puts_.push_back(put);
             if (luck == 0) return;  // no answer: it begins again with another grant
             if (apply(put)) {
-                l.self.grant = grant;
-                l.node_lease->renewed(now_, kLife);
+                l.self.store_lease = store_lease;
+                l.leadership_lease->renewed(now_, kLife);
             }
         } else if (reached) {
-            const auto g = grants_.find(l.self.grant);
+            const auto g = grants_.find(l.self.store_lease);
             if (g == grants_.end()) {
-                l.self.grant = 0;
-                l.node_lease->lost();
+                l.self.store_lease = 0;
+                l.leadership_lease->lost();
                 return;
             }
             g->second = now_ + kLife;
-            l.node_lease->renewed(now_, kLife);
-        } else if (l.node_lease->alive(now_)) {
+            l.leadership_lease->renewed(now_, kLife);
+        } else if (l.leadership_lease->alive(now_)) {
             const Micros asked = now_;
             for (int k = 0; k < 3; ++k) {
                 if (k == i || cut_[i] || cut_[k]) continue;
                 Life& p = lives_[k];
-                const bool may = p.self.grant != 0 && p.failing.count() != 0 &&
+                const bool may = p.self.store_lease != 0 && p.failing.count() != 0 &&
                                  now_ - p.failing >= Micros{600'000} &&
-                                 !(p.unresolved && *p.unresolved == epoch_.stamp);
+                                 !(p.unresolved && *p.unresolved == epoch_.mod_revision);
                 if (!may) continue;
-                p.promised[l.self.label] = now_ + kPromise;
-                l.node_lease->promise(label(k), asked, kPromise, now_);
+                p.protected_members[l.self.label] = now_ + kPromise;
+                l.leadership_lease->record_vote(label(k), asked, kPromise, now_);
             }
         }
-        if (!reached || l.self.grant == 0 || !l.node_lease->alive(now_)) return;
+        if (!reached || l.self.store_lease == 0 || !l.leadership_lease->alive(now_)) return;
         EpochInput in;
         in.current = epoch_;
-        in.nodes = nodes_;
+        in.member_records = nodes_;
         in.self = l.self;
         in.teams = teams(3);
-        for (const auto& [who, until] : l.promised) {
-            if (until > now_) in.promised.insert(who);
+        for (const auto& [who, until] : l.protected_members) {
+            if (until > now_) in.protected_members.insert(who);
         }
-        in.bound = now_ - l.started < kPromise;
-        in.wall = now_;
+        in.bound_by_earlier_votes = now_ - l.started < kPromise;
+        in.wall_clock_now = now_;
         if (auto plan = core::plan_epoch(in)) {
-            const Write w{*plan, epoch_.stamp, now_ + Micros{*rc::gen::inRange(0, 3'000'000)}};
+            const Write w{*plan, epoch_.mod_revision, now_ + Micros{*rc::gen::inRange(0, 3'000'000)}};
             if (*rc::gen::inRange(0, 3) == 0) {
                 late_.push_back(w);  // no answer: it may be carried out much later
-                l.unresolved = epoch_.stamp;
+                l.unresolved = epoch_.mod_revision;
                 if (*rc::gen::arbitrary<bool>()) late_.push_back(w);
             } else {
                 apply(w);
@@ -270,16 +271,16 @@
         last_token_ = epoch_.number;
         if (epoch_.number == 0) return;
         for (const auto& l : lives_) {
-            if (l.self.grant == 0 || !l.node_lease->alive(now_)) continue;
+            if (l.self.store_lease == 0 || !l.leadership_lease->alive(now_)) continue;
             // The others may remove whoever's key is gone, so nobody acts without.
             const auto key = nodes_.find(l.self.label);
-            RC_ASSERT(key != nodes_.end() && key->second.grant == l.self.grant);
+            RC_ASSERT(key != nodes_.end() && key->second.store_lease == l.self.store_lease);
             const auto* m = epoch_.member(l.self.label);
-            const bool was_member = ever_.contains({l.self.label, l.self.grant});
+            const bool was_member = ever_.contains({l.self.label, l.self.store_lease});
             const bool is_member = m != nullptr && *m == l.self;
             // Alive, once a member and now removed: two nodes could act for the same teams.
             RC_ASSERT(!was_member || is_member);
-            if (is_member) ever_.insert({l.self.label, l.self.grant});
+            if (is_member) ever_.insert({l.self.label, l.self.store_lease});
         }
         if (epoch_.member(epoch_.leader) == nullptr) RC_FAIL("the leader is a member");
     }
@@ -291,9 +292,9 @@
     bool deaf_[3] = {};
     bool down_ = false;
     std::map<std::uint64_t, Micros> grants_;
-    std::map<std::string, core::NodeRecord> nodes_;
+    std::map<std::string, core::MemberRecord> nodes_;
     core::Epoch epoch_;
-    core::Stamp revision_ = 0;
+    core::Revision revision_ = 0;
     std::uint64_t next_grant_ = 0;
     std::uint64_t last_token_ = 0;
     std::list<Write> late_;
@@ -315,19 +316,21 @@
     in.current.number = 4;
     in.current.leader = "a";
     in.current.members = {{"a", 1}, {"b", 2}};
-    in.current.stamp = 9;
-    in.nodes = {{"a", {1, 5}}, {"b", {2, 6}}};
+    in.current.mod_revision = 9;
+    in.member_records = {{"a", {1, 5}}, {"b", {2, 6}}};
     EXPECT_FALSE(core::plan_epoch(in).has_value());
-    in.nodes.erase("a");
+    in.member_records.erase("a");
     const auto plan = core::plan_epoch(in);
     ASSERT_TRUE(plan.has_value());
     EXPECT_EQ(plan->next.leader, "b");
     EXPECT_EQ(plan->next.number, 5U);
-    EXPECT_EQ(plan->node_conditions, (std::vector<std::pair<std::string, core::Stamp>>{{"a", 0}, {"b", 6}}));
+    EXPECT_EQ(plan->member_conditions,
+              (std::vector<std::pair<std::string, core::Revision>>{{"a", 0}, {"b", 6}}));
     // The same label in a new life: the old one is gone, so it counts as removed, and as a member anew.
-    in.nodes["a"] = {7, 8};
-    EXPECT_EQ(core::plan_epoch(in)->node_conditions.front(), (std::pair<std::string, core::Stamp>{"a", 8}));
-    in.promised.insert("a");
+    in.member_records["a"] = {7, 8};
+    EXPECT_EQ(core::plan_epoch(in)->member_conditions.front(),
+              (std::pair<std::string, core::Revision>{"a", 8}));
+    in.protected_members.insert("a");
     EXPECT_FALSE(core::plan_epoch(in).has_value()) << "a promise binds";
 }
 
@@ -338,14 +341,14 @@
     in.current.number = 4;
     in.current.leader = "a";
     in.current.members = {{"a", 1}, {"b", 2}};
-    in.nodes = {{"a", {1, 5}}, {"b", {2, 6}}};
-    in.current.owners = {{"t0", "a"}, {"t1", "b"}};
+    in.member_records = {{"a", {1, 5}}, {"b", {2, 6}}};
+    in.current.shard_owners = {{"t0", "a"}, {"t1", "b"}};
     EXPECT_FALSE(core::plan_epoch(in).has_value());
-    in.unfit = {"a"};
+    in.unhealthy = {"a"};
     const auto plan = core::plan_epoch(in);
     ASSERT_TRUE(plan.has_value());
     EXPECT_EQ(plan->next.leader, "b");
-    for (const auto& [t, o] : plan->next.owners) EXPECT_EQ(o, "b");
+    for (const auto& [t, o] : plan->next.shard_owners) EXPECT_EQ(o, "b");
 }
 
 }  // namespace
--- a/tests/ledger_test.cpp
+++ b/tests/job_table_test.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 
 #include <set>
 
@@ -24,66 +24,66 @@
 }
 
 // A page with the first attempts of a released job is read before the record of its release.
-TEST(Ledger, AReleaseThatIsReadLateMovesTheUseToTheTeam) {
-    core::Ledger ledger;
+TEST(JobTable, AReleaseThatIsReadLateMovesTheUseToTheTeam) {
+    core::JobTable job_table;
     core::Job job = test::job("req-1", core::kWaitingTeam, 4, 2);
-    job.awaits = {"req-0"};
+    job.dependencies = {"req-0"};
     job.team_once_released = "x";
-    ledger.put_job(job, 1);
+    job_table.put_job(job, 1);
     core::Chunk chunk;
-    chunk.stamp = 3;
+    chunk.mod_revision = 3;
     chunk.open[0] = {1, "n-1", 1};
     chunk.open[1] = {1, "n-1", 1};
-    ledger.put_chunk("req-1", 0, chunk);
+    job_table.put_chunk("req-1", 0, chunk);
     job.team = "x";
-    job.awaits.clear();
-    ledger.put_job(job, 2);
-    EXPECT_DOUBLE_EQ(ledger.team_use("x").cpus, 4);
-    EXPECT_DOUBLE_EQ(ledger.team_use(core::kWaitingTeam).cpus, 0);
-    EXPECT_TRUE(ledger.waiting().empty());
-    ledger.erase_job("req-1", 4);
-    EXPECT_DOUBLE_EQ(ledger.team_use("x").cpus, 0);
+    job.dependencies.clear();
+    job_table.put_job(job, 2);
+    EXPECT_DOUBLE_EQ(job_table.team_use("x").cpus, 4);
+    EXPECT_DOUBLE_EQ(job_table.team_use(core::kWaitingTeam).cpus, 0);
+    EXPECT_TRUE(job_table.waiting().empty());
+    job_table.erase_job("req-1", 4);
+    EXPECT_DOUBLE_EQ(job_table.team_use("x").cpus, 0);
 }
 
 // The parts of a long list and the record that names them come in any order.
-TEST(Ledger, ALongListIsKnownOnceAllItsPartsAre) {
+TEST(JobTable, ALongListIsKnownOnceAllItsPartsAre) {
     holds("parts and record in any order", [] {
         core::Job job = test::job("req-1", core::kWaitingTeam, 1, 1);
         job.team_once_released = "x";
-        job.await_list = "l";
-        job.await_parts = static_cast<std::uint32_t>(*rc::gen::inRange(1, 5));
+        job.dependency_list = "l";
+        job.dependency_parts = static_cast<std::uint32_t>(*rc::gen::inRange(1, 5));
         std::vector<std::uint32_t> order;  // the record is the last number
-        for (std::uint32_t part = 0; part <= job.await_parts; ++part) order.push_back(part);
+        for (std::uint32_t part = 0; part <= job.dependency_parts; ++part) order.push_back(part);
         for (std::size_t i = order.size(); i > 1; --i)
             std::swap(order[i - 1], order[*rc::gen::inRange<std::size_t>(0, i)]);
-        core::Ledger ledger;
+        core::JobTable job_table;
         std::vector<std::string> all;
-        for (std::uint32_t part = 0; part < job.await_parts; ++part)
+        for (std::uint32_t part = 0; part < job.dependency_parts; ++part)
             all.push_back("req-" + std::to_string(10 + part));
-        ledger.put_await_part("req-1", "another", 0, {"req-99"});
+        job_table.put_dependency_part("req-1", "another", 0, {"req-99"});
         for (std::size_t i = 0; i < order.size(); ++i) {
-            const core::JobEntry* entry = ledger.find("req-1");
-            const bool known = entry != nullptr && entry->job.needs_known();
+            const core::JobEntry* entry = job_table.find("req-1");
+            const bool known = entry != nullptr && entry->job.dependencies_known();
             RC_ASSERT(!known);
-            if (order[i] == job.await_parts) {
-                ledger.put_job(job, 5);
+            if (order[i] == job.dependency_parts) {
+                job_table.put_job(job, 5);
             } else {
-                ledger.put_await_part("req-1", "l", order[i], {all[order[i]]});
+                job_table.put_dependency_part("req-1", "l", order[i], {all[order[i]]});
             }
         }
-        RC_ASSERT(ledger.find("req-1")->job.awaits == all);
+        RC_ASSERT(job_table.find("req-1")->job.dependencies == all);
     });
 }
 
 // The store as a model: each change has its stamp. The ledger gets the changes late, twice and out of
 // order within a key, and must end where the store is.
-TEST(Ledger, EndsWhereTheStoreIsWhateverOrderChangesArriveIn) {
+TEST(JobTable, EndsWhereTheStoreIsWhateverOrderChangesArriveIn) {
     holds("reordered and repeated changes", [] {
         struct Change {
-            core::Stamp stamp;
+            core::Revision mod_revision;
             std::optional<core::Chunk> chunk;  // none: deleted
         };
-        core::Ledger l;
+        core::JobTable l;
         l.put_job(test::job("req-1", "x", 200, 2), 1);
         std::vector<std::pair<std::uint32_t, Change>> changes;
         std::map<std::uint32_t, core::Chunk> store;
@@ -91,7 +91,7 @@
         for (int i = 0; i < n; ++i) {
             const auto index = static_cast<std::uint32_t>(*rc::gen::inRange(0, 4));
             core::Chunk c = store[index];
-            c.stamp = static_cast<core::Stamp>(i + 2);
+            c.mod_revision = static_cast<core::Revision>(i + 2);
             const std::uint32_t task =
                 index * core::kChunkTasks + static_cast<std::uint32_t>(*rc::gen::inRange(0, 8));
             if (c.open.erase(task) != 0) {
@@ -100,7 +100,7 @@
                 c.open[task] = {++c.last_attempt, "n-" + std::to_string(*rc::gen::inRange(0, 3)), 1};
             }
             store[index] = c;
-            changes.emplace_back(index, Change{c.stamp, c});
+            changes.emplace_back(index, Change{c.mod_revision, c});
         }
         auto order = changes;
         for (const auto& c : changes) {
@@ -124,11 +124,12 @@
         RC_ASSERT(std::abs(l.team_use("x").cpus - 2.0 * open) < 1e-9);
         for (const auto& m : {"n-0", "n-1", "n-2"}) {
             std::set<core::TaskRef> there;
-            for (const auto& [ref, held] : l.on_machine(m)) {
+            for (const auto& [ref, recorded_attempts] : l.on_machine(m)) {
                 there.insert(ref);
                 const auto* a = l.open_attempt(ref.job, ref.task);
-                RC_ASSERT(held.entry == e && a != nullptr && a->number == held.number &&
-                          a->session == held.session);
+                RC_ASSERT(recorded_attempts.entry == e && a != nullptr &&
+                          a->number == recorded_attempts.number &&
+                          a->incarnation == recorded_attempts.incarnation);
             }
             RC_ASSERT(there == where[m]);
         }
@@ -142,25 +143,25 @@
     });
 }
 
-TEST(Ledger, KeepsRecordsOfAnEndedJobAsOrphansUntilTheyAreDeleted) {
-    core::Ledger l;
+TEST(JobTable, KeepsRecordsOfAnEndedJobAsOrphansUntilTheyAreDeleted) {
+    core::JobTable l;
     l.put_job(test::job("req-1", "x", 200, 2), 1);
     core::Chunk c;
-    c.stamp = 2;
+    c.mod_revision = 2;
     l.put_chunk("req-1", 0, c);
-    c.stamp = 3;
+    c.mod_revision = 3;
     l.put_chunk("req-1", 1, c);
     l.erase_chunk("req-1", 0, 4);
     l.erase_job("req-1", 4);
     ASSERT_EQ(l.orphans().size(), 1U);
-    EXPECT_EQ(l.orphans().begin()->second.stamp, 3U);
+    EXPECT_EQ(l.orphans().begin()->second.mod_revision, 3U);
     l.erase_chunk("req-1", 1, 5);
     EXPECT_TRUE(l.orphans().empty());
 }
 
 // The store is read in pieces while it changes: a page can be newer than the piece with the job's record.
-TEST(Ledger, APageThatComesBeforeItsJobIsNotLost) {
-    core::Ledger l;
+TEST(JobTable, APageThatComesBeforeItsJobIsNotLost) {
+    core::JobTable l;
     core::Chunk c;
     c.open[3] = {1, "n-1", 1};
     c.last_attempt = 1;
@@ -182,8 +183,8 @@
     EXPECT_EQ(l.open_attempt("req-1", 3), nullptr);
 }
 
-TEST(Ledger, AJobOfAHundredThousandTasksTouchesOnlyWhatRan) {
-    core::Ledger l;
+TEST(JobTable, AJobOfAHundredThousandTasksTouchesOnlyWhatRan) {
+    core::JobTable l;
     l.put_job(test::job("req-1", "x", 100'000, 1), 1);
     EXPECT_TRUE(l.find("req-1")->chunks.empty());
     EXPECT_EQ(core::unstarted_tasks(*l.find("req-1"), 50).size(), 50U);
@@ -192,23 +193,23 @@
 TEST(ClusterView, NewestSessionAndTickWinsAndReleasedMachinesStayGone) {
     core::ClusterView p;
     auto r = test::report("n-1", "small", "a");
-    r.tick = 5;
+    r.heartbeat_sequence = 5;
     EXPECT_TRUE(p.apply(r, core::Micros{1}, core::Micros{1}));
-    r.tick = 4;
+    r.heartbeat_sequence = 4;
     EXPECT_FALSE(p.apply(r, core::Micros{2}, core::Micros{2}));
-    r.session = 2;
-    r.tick = 1;
+    r.incarnation = 2;
+    r.heartbeat_sequence = 1;
     EXPECT_TRUE(p.apply(r, core::Micros{3}, core::Micros{3}));
     const core::Attempt old{1, "n-1", 1};
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, old).fate, core::Fate::gone);
+    EXPECT_EQ(core::view_attempt(p, "req-1", 0, old).status, core::AttemptStatus::gone);
     const core::Attempt current{2, "n-1", 2};
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, current).fate, core::Fate::unlisted)
+    EXPECT_EQ(core::view_attempt(p, "req-1", 0, current).status, core::AttemptStatus::unlisted)
         << "a missing task proves nothing";
     p.release("n-1", core::Micros{1});
-    r.tick = 9;
+    r.heartbeat_sequence = 9;
     EXPECT_FALSE(p.apply(r, core::Micros{4}, core::Micros{4}));
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, current).fate, core::Fate::gone);
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, {1, "n-9", 1}).fate, core::Fate::silent);
+    EXPECT_EQ(core::view_attempt(p, "req-1", 0, current).status, core::AttemptStatus::gone);
+    EXPECT_EQ(core::view_attempt(p, "req-1", 0, {1, "n-9", 1}).status, core::AttemptStatus::silent);
 }
 
 }  // namespace
