--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -16,19 +16,19 @@
 
 core::PlacementInput placement_input(const test::Cluster& c) {
     core::PlacementInput in;
-    in.ledger = &c.ledger;
+    in.job_table = &c.job_table;
     in.cluster_view = &c.cluster_view;
     in.teams = &c.teams;
     in.objectives = &c.objectives;
     for (const auto& [name, t] : c.teams) in.own_teams.insert(name);
     in.now = c.now;
-    in.wall = c.now;
+    in.wall_clock_now = c.now;
     return in;
 }
 
-core::TaskReport listed(const std::string& job, std::uint32_t task, std::uint64_t attempt,
+core::TaskStatus listed(const std::string& job, std::uint32_t task, std::uint64_t attempt,
                         core::TaskState state) {
-    core::TaskReport t;
+    core::TaskStatus t;
     t.job = job;
     t.task = task;
     t.attempt = attempt;
@@ -37,13 +37,14 @@
 }
 
 // Records one attempt in the ledger, and lists it as running on the machine.
-void run_on(test::Cluster& c, core::WorkerReport& machine, const core::Job& job, core::Stamp stamp) {
-    c.ledger.put_job(job, stamp);
+void run_on(test::Cluster& c, core::WorkerHeartbeat& machine, const core::Job& job,
+            core::Revision mod_revision) {
+    c.job_table.put_job(job, mod_revision);
     core::Chunk chunk;
-    chunk.stamp = stamp;
-    chunk.open[0] = {1, machine.machine, machine.session};
+    chunk.mod_revision = mod_revision;
+    chunk.open[0] = {1, machine.machine, machine.incarnation};
     chunk.last_attempt = 1;
-    c.ledger.put_chunk(job.id, 0, chunk);
+    c.job_table.put_chunk(job.id, 0, chunk);
     machine.tasks.push_back(listed(job.id, 0, 1, core::TaskState::running));
 }
 
@@ -72,20 +73,20 @@
     auto urgent = test::job("req-4", "y", 1, 4);
     urgent.kind = core::JobKind::service;
     urgent.priority = core::Priority::high;
-    c.ledger.put_job(urgent, 4);
+    c.job_table.put_job(urgent, 4);
     auto small = test::job("req-5", "x", 1, 1);
     small.priority = core::Priority::normal;
-    c.ledger.put_job(small, 5);
+    c.job_table.put_job(small, 5);
 
     core::FreeCapacity capacity = c.free_capacity();
     const auto out = core::place(placement_input(c), capacity);
     ASSERT_EQ(out.stops.size(), 1U);
     EXPECT_EQ(out.stops[0].job, "req-1");
-    core::Amount use = c.ledger.team_use("x");
+    core::Resources use = c.job_table.team_use("x");
     for (const auto& s : out.starts) {
-        if (c.ledger.find(s.job)->job.team == "x") use += c.ledger.find(s.job)->job.need;
+        if (c.job_table.find(s.job)->job.team == "x") use += c.job_table.find(s.job)->job.resources;
     }
-    EXPECT_LE(use.cpus, 8 + core::kSlack) << "the stopped task is on its machine still";
+    EXPECT_LE(use.cpus, 8 + core::kResourceTolerance) << "the stopped task is on its machine still";
 }
 
 // The end of an attempt is recorded, and its worker still lists it: its reap is lost with the owner that
@@ -97,11 +98,11 @@
     auto machine = test::report("n-1", "small", "a");
     machine.tasks.push_back(listed("req-1", 0, 1, core::TaskState::exited));
     c.cluster_view.apply(machine, c.now, c.now);
-    c.ledger.put_job(test::job("req-1", "x", 1, 2), 1);
+    c.job_table.put_job(test::job("req-1", "x", 1, 2), 1);
     core::Chunk chunk;
-    chunk.stamp = 2;
+    chunk.mod_revision = 2;
     chunk.last_attempt = 1;
-    c.ledger.put_chunk("req-1", 0, chunk);
+    c.job_table.put_chunk("req-1", 0, chunk);
     core::FreeCapacity capacity = c.free_capacity();
     const auto out = core::place(placement_input(c), capacity);
     ASSERT_EQ(out.starts.size(), 1U);
@@ -109,7 +110,7 @@
 
     // One that runs there without a record would make the worker refuse the new one.
     machine.tasks[0].state = core::TaskState::running;
-    ++machine.tick;
+    ++machine.heartbeat_sequence;
     c.cluster_view.apply(machine, c.now, c.now);
     core::FreeCapacity again = c.free_capacity();
     EXPECT_TRUE(core::place(placement_input(c), again).starts.empty());
@@ -126,10 +127,10 @@
     run_on(c, machine, service, 1);
     c.cluster_view.apply(machine, c.now, c.now);
     c.now += core::kBeginWithin * 2;
-    ++machine.tick;
+    ++machine.heartbeat_sequence;
     c.cluster_view.apply(machine, c.now, c.now);
-    c.ledger.put_job(test::job("req-2", "x", 1, 4), 2);
-    c.ledger.put_job(test::job("req-3", "x", 1, 1), 3);
+    c.job_table.put_job(test::job("req-2", "x", 1, 4), 2);
+    c.job_table.put_job(test::job("req-3", "x", 1, 1), 3);
     core::FreeCapacity capacity = c.free_capacity();
     const auto out = core::place(placement_input(c), capacity);
     ASSERT_EQ(out.starts.size(), 1U);
@@ -171,7 +172,7 @@
 
 std::size_t held_orders(Site& s) {
     std::size_t n = 0;
-    for (const auto& [id, w] : s.cloud.workers) n += w->held.size();
+    for (const auto& [id, w] : s.cloud.workers) n += w->recorded_attempts.size();
     return n;
 }
 
@@ -257,7 +258,7 @@
         }
         co_await s.loop.sleep(Micros{1'500'000});
         for (auto& [id, w] : s.cloud.workers) {
-            for (const auto& copy : w->held) (void)w->late_orders(copy);
+            for (const auto& copy : w->recorded_attempts) (void)w->late_orders(copy);
         }
         co_await s.loop.sleep(Micros{100'000});
         EXPECT_TRUE(s.world.running.empty()) << "a start that came after the end of a cancelled job ran";
@@ -265,7 +266,7 @@
 }
 
 // The same with a leader that ends in between, and a machine that hears nobody: the new owner has sent no
-// start, but the old one's may still arrive, since the worker has not heard of the new token.
+// start, but the old one's may still arrive, since the worker has not heard of the new fencing token.
 TEST(CommandMeetings, AStartOfAnEndedLeaderArrivesAfterTheCancelAtTheNextOne) {
     Site site{2};
     site.world.endless = {"req-2"};
@@ -308,7 +309,7 @@
         EXPECT_FALSE(s.state.items.contains("f/req-2"));
         bool ran = false;
         for (auto& [id, w] : s.cloud.workers) {
-            for (const auto& copy : w->held) ran = w->late_orders(copy) || ran;
+            for (const auto& copy : w->recorded_attempts) ran = w->late_orders(copy) || ran;
         }
         EXPECT_TRUE(ran) << "the worker has heard of the new token: this test shows nothing";
         for (auto& [id, w] : s.cloud.workers) w->deaf = w->hold_orders = false;
@@ -325,7 +326,7 @@
 TEST(OneWayMeetings, AMachineWhoseSessionEndedAnswersBeforeItTakesTasksAgain) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
-    c.ledger.put_job(test::job("req-1", "x", 1, 1), 1);
+    c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
     const Micros doubt{26'000'000};
     const auto starts = [&c] {
         core::FreeCapacity capacity = c.free_capacity();
@@ -334,11 +335,11 @@
     auto machine = test::report("n-1", "small", "a");
     c.cluster_view.apply(machine, c.now, c.now, true, doubt);
     EXPECT_EQ(starts(), 1U);
-    ++machine.tick;
+    ++machine.heartbeat_sequence;
     c.cluster_view.apply(machine, c.now, c.now, false, doubt);
     EXPECT_EQ(starts(), 1U);
-    ++machine.tick;
-    ++machine.session;
+    ++machine.heartbeat_sequence;
+    ++machine.incarnation;
     c.cluster_view.apply(machine, c.now, c.now, false, doubt);
     EXPECT_EQ(starts(), 0U);
     c.cluster_view.confirm("n-1");
@@ -373,7 +374,7 @@
             co_await std::move(step);
         }
         EXPECT_LT(io::steady_now() - began, Micros{30'000'000}) << "it counted as alive after its lease";
-        EXPECT_GT(s.cloud.workers.contains(deaf) ? s.cloud.workers.at(deaf)->session() : 2U, 1U);
+        EXPECT_GT(s.cloud.workers.contains(deaf) ? s.cloud.workers.at(deaf)->incarnation() : 2U, 1U);
         {
             auto step = s.until_status("req-1", "running");
             co_await std::move(step);
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -1,5 +1,5 @@
 // Cancellations and leases where the state service, the leader and the workers fail together.
-#include "service/service.hpp"
+#include "controller/controller.hpp"
 #include "site.hpp"
 #include "support.hpp"
 
@@ -11,8 +11,8 @@
 using test::Site;
 using wire::Json;
 
-service::Settings settings_with_lease(double lease_s) {
-    service::Settings settings;
+controller::Settings settings_with_lease(double lease_s) {
+    controller::Settings settings;
     settings.label = "n0";
     settings.lease_s = lease_s;
     settings.report_s = 1;
@@ -23,10 +23,10 @@
     return settings;
 }
 
-core::WorkerReport report_of_session(std::uint64_t session, std::uint64_t tick) {
-    core::WorkerReport report = test::report("n-1", "small", "a");
-    report.session = session;
-    report.tick = tick;
+core::WorkerHeartbeat heartbeat_of_incarnation(std::uint64_t incarnation, std::uint64_t heartbeat_sequence) {
+    core::WorkerHeartbeat report = test::report("n-1", "small", "a");
+    report.incarnation = incarnation;
+    report.heartbeat_sequence = heartbeat_sequence;
     return report;
 }
 
@@ -37,67 +37,68 @@
 TEST(LeaseOfASession, IsCountedFromTheFirstNewsOfThatSession) {
     io::Loop loop;
     const auto settings = settings_with_lease(10);
-    service::Node node(loop, settings, service::tune({}, settings));
-    node.take_report(report_of_session(1, 1), true);
+    controller::Node node(loop, settings, controller::tune({}, settings));
+    node.handle_heartbeat(heartbeat_of_incarnation(1, 1), true);
     const Micros now = io::wall_now();
-    node.answered_any["n-1"] = now - 30 * kSecond;  // nothing was answered since
-    node.take_report(report_of_session(2, 2), false);
-    EXPECT_FALSE(node.lease_over("n-1", 2, now + 9 * kSecond)) << "it may have begun just now";
-    EXPECT_TRUE(node.lease_over("n-1", 2, now + 13 * kSecond));
+    node.lease_renewals_known["n-1"] = now - 30 * kSecond;  // nothing was answered since
+    node.handle_heartbeat(heartbeat_of_incarnation(2, 2), false);
+    EXPECT_FALSE(node.lease_expired("n-1", 2, now + 9 * kSecond)) << "it may have begun just now";
+    EXPECT_TRUE(node.lease_expired("n-1", 2, now + 13 * kSecond));
 }
 
 TEST(LeaseOfASession, KnownFromARecordOnlyIsCountedFromWhenTheRecordWasSeen) {
     io::Loop loop;
     const auto settings = settings_with_lease(10);
-    service::Node node(loop, settings, service::tune({}, settings));
+    controller::Node node(loop, settings, controller::tune({}, settings));
     const Micros now = io::wall_now();
-    node.answered_any["n-1"] = now - 30 * kSecond;
-    EXPECT_FALSE(node.lease_over("n-1", 5, now + 9 * kSecond));
-    EXPECT_TRUE(node.lease_over("n-1", 5, now + 13 * kSecond));
+    node.lease_renewals_known["n-1"] = now - 30 * kSecond;
+    EXPECT_FALSE(node.lease_expired("n-1", 5, now + 9 * kSecond));
+    EXPECT_TRUE(node.lease_expired("n-1", 5, now + 13 * kSecond));
 }
 
 TEST(LeaseOfASession, LaterNewsOfItChangesNothing) {
     io::Loop loop;
     const auto settings = settings_with_lease(10);
-    service::Node node(loop, settings, service::tune({}, settings));
+    controller::Node node(loop, settings, controller::tune({}, settings));
     const Micros now = io::wall_now();
-    for (std::uint64_t tick = 1; tick < 4; ++tick) node.take_report(report_of_session(2, tick), false);
-    node.note_session("n-1", 1);
-    EXPECT_FALSE(node.lease_over("n-1", 2, now + 9 * kSecond));
-    EXPECT_TRUE(node.lease_over("n-1", 2, now + 13 * kSecond));
+    for (std::uint64_t heartbeat_sequence = 1; heartbeat_sequence < 4; ++heartbeat_sequence)
+        node.handle_heartbeat(heartbeat_of_incarnation(2, heartbeat_sequence), false);
+    node.record_incarnation("n-1", 1);
+    EXPECT_FALSE(node.lease_expired("n-1", 2, now + 9 * kSecond));
+    EXPECT_TRUE(node.lease_expired("n-1", 2, now + 13 * kSecond));
 }
 
 TEST(Placement, AMachineWhoseReportsNobodyAnswersTakesNothing) {
     core::ClusterView cluster_view;
-    core::Ledger ledger;
+    core::JobTable job_table;
     const core::Catalog catalog = test::catalog();
-    cluster_view.apply(report_of_session(1, 1), kSecond, 50 * kSecond, true);
+    cluster_view.apply(heartbeat_of_incarnation(1, 1), kSecond, 50 * kSecond, true);
     core::Availability availability;
     availability.now = kSecond;
     availability.silent_after = 5 * kSecond;
     availability.heard_since = 45 * kSecond;
     EXPECT_TRUE(
-        core::FreeCapacity::build(cluster_view, ledger, catalog, availability).machines().front().usable);
+        core::FreeCapacity::build(cluster_view, job_table, catalog, availability).machines().front().usable);
     availability.heard_since = 55 * kSecond;
     EXPECT_FALSE(
-        core::FreeCapacity::build(cluster_view, ledger, catalog, availability).machines().front().usable);
+        core::FreeCapacity::build(cluster_view, job_table, catalog, availability).machines().front().usable);
 }
 
 TEST(ToldCancels, ApplyOnceAndBringNothingBack) {
     io::Loop loop;
     const auto settings = settings_with_lease(10);
-    service::Node node(loop, settings, service::tune({}, settings));
-    node.ledger.put_job(test::job("req-1", "x", 1, 1), 10);
+    controller::Node node(loop, settings, controller::tune({}, settings));
+    node.job_table.put_job(test::job("req-1", "x", 1, 1), 10);
     node.revision = 12;
-    node.take_cancels({{"req-1", 11, 5}});
-    EXPECT_FALSE(node.ledger.find("req-1")->job.cancelled)
+    node.apply_cancellations({{"req-1", 11, 5}});
+    EXPECT_FALSE(node.job_table.find("req-1")->job.cancelled)
         << "the replica has come further, so it knows better";
-    node.take_cancels({{"req-1", 13, 5}, {"req-2", 14, 5}});
-    EXPECT_TRUE(node.ledger.find("req-1")->job.cancelled);
-    EXPECT_EQ(node.ledger.find("req-1")->stamp, 13U);
-    EXPECT_EQ(node.ledger.find("req-2"), nullptr);
-    EXPECT_EQ(node.cancels_after(12), (std::vector<wire::CancelNotice>{{"req-1", 13, 5}}));
-    EXPECT_TRUE(node.cancels_after(13).empty());
+    node.apply_cancellations({{"req-1", 13, 5}, {"req-2", 14, 5}});
+    EXPECT_TRUE(node.job_table.find("req-1")->job.cancelled);
+    EXPECT_EQ(node.job_table.find("req-1")->mod_revision, 13U);
+    EXPECT_EQ(node.job_table.find("req-2"), nullptr);
+    EXPECT_EQ(node.cancellations_after(12), (std::vector<wire::CancellationNotice>{{"req-1", 13, 5}}));
+    EXPECT_TRUE(node.cancellations_after(13).empty());
 }
 
 // What a story of the gap varies.
--- a/tests/mesh_codec_test.cpp
+++ b/tests/peer_protocol_test.cpp
@@ -1,4 +1,4 @@
-#include "wire/mesh_codec.hpp"
+#include "wire/peer_protocol.hpp"
 
 #include "support.hpp"
 
@@ -7,27 +7,27 @@
 
 using test::holds;
 
-std::vector<wire::CancelNotice> draw_cancels() {
-    std::vector<wire::CancelNotice> cancels;
+std::vector<wire::CancellationNotice> draw_cancels() {
+    std::vector<wire::CancellationNotice> cancellations;
     const int count = *rc::gen::inRange(0, 4);
     for (int i = 0; i < count; ++i) {
-        cancels.push_back({*rc::gen::arbitrary<std::string>(), *rc::gen::arbitrary<std::uint64_t>(),
-                           *rc::gen::arbitrary<std::int64_t>()});
+        cancellations.push_back({*rc::gen::arbitrary<std::string>(), *rc::gen::arbitrary<std::uint64_t>(),
+                                 *rc::gen::arbitrary<std::int64_t>()});
     }
-    return cancels;
+    return cancellations;
 }
 
-wire::MeshHeartbeat draw_heartbeat() {
-    wire::MeshHeartbeat b;
+wire::PeerHeartbeat draw_heartbeat() {
+    wire::PeerHeartbeat b;
     b.label = *rc::gen::arbitrary<std::string>();
-    b.grant = *rc::gen::arbitrary<std::uint64_t>();
+    b.store_lease = *rc::gen::arbitrary<std::uint64_t>();
     b.wall_us = *rc::gen::inRange<std::int64_t>(0, 2'000'000'000'000'000);
     b.epoch = *rc::gen::arbitrary<std::uint64_t>();
     b.state_ok = *rc::gen::arbitrary<bool>();
-    b.fit = *rc::gen::arbitrary<bool>();
-    b.acting = *rc::gen::arbitrary<bool>();
+    b.healthy = *rc::gen::arbitrary<bool>();
+    b.holds_leadership = *rc::gen::arbitrary<bool>();
     b.revision = *rc::gen::arbitrary<std::uint64_t>();
-    b.cancels = draw_cancels();
+    b.cancellations = draw_cancels();
     b.capabilities = *rc::gen::arbitrary<std::uint64_t>();
     const int n = *rc::gen::inRange(0, 5);
     for (int i = 0; i < n; ++i) {
@@ -44,18 +44,19 @@
 TEST(MeshCodec, AHeartbeatOfALargeFleetFitsAFrame) {
     constexpr int kMachines = 5'000;
     constexpr std::size_t kReleased = 8'192;
-    wire::MeshHeartbeat heartbeat;
+    wire::PeerHeartbeat heartbeat;
     heartbeat.wall_us = 1'700'000'000'000'000;
     const auto name = [](std::size_t i) { return "n-" + std::to_string(100'000 + i); };
     for (std::size_t i = 0; i < kMachines; ++i) {
         heartbeat.answered.emplace_back(name(i), heartbeat.wall_us - 600'000'000);
         heartbeat.candidates.push_back(name(i));
         heartbeat.unanswered.push_back(name(i));
-        heartbeat.cancels.push_back({"req-" + std::to_string(100'000 + i), 1'000'000, heartbeat.wall_us});
+        heartbeat.cancellations.push_back(
+            {"req-" + std::to_string(100'000 + i), 1'000'000, heartbeat.wall_us});
     }
     for (std::size_t i = 0; i < kReleased; ++i) heartbeat.released.push_back(name(i));
     const std::string frame = wire::encode_frame(heartbeat);
-    EXPECT_LT(frame.size(), wire::kMeshFrameBytes);
+    EXPECT_LT(frame.size(), wire::kMaxFrameBytes);
     wire::FrameReader reader;
     reader.add(frame);
     EXPECT_TRUE(reader.next().has_value());
@@ -64,46 +65,46 @@
 TEST(MeshCodec, FramesSurviveAnySplit) {
     holds("split anywhere", [] {
         const auto heartbeat = draw_heartbeat();
-        const wire::MeshAsk ask{9, 1'500'000, *rc::gen::arbitrary<std::uint64_t>()};
-        const wire::MeshPromise promise{9, true, draw_cancels()};
-        const wire::MeshCancel cancel{draw_cancels()};
-        const wire::MeshHold hold{"n-1", "req-1", 3, 2.0, 0, 4.4, 4'000'000};
-        const std::string bytes = wire::encode_frame(wire::MeshHello{1, "node"}) +
+        const wire::LeaseExtensionRequest ask{9, 1'500'000, *rc::gen::arbitrary<std::uint64_t>()};
+        const wire::LeaseExtensionVote promise{9, true, draw_cancels()};
+        const wire::CancellationBroadcast cancel{draw_cancels()};
+        const wire::CapacityReservationNotice hold{"n-1", "req-1", 3, 2.0, 0, 4.4, 4'000'000};
+        const std::string bytes = wire::encode_frame(wire::PeerHandshake{1, "node"}) +
                                   wire::encode_frame(heartbeat) + wire::encode_frame(ask) +
                                   wire::encode_frame(promise) + wire::encode_frame(hold) +
                                   wire::encode_frame(cancel);
         const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
         wire::FrameReader r;
-        std::vector<wire::MeshMessage> got;
+        std::vector<wire::PeerMessage> got;
         for (const auto& part : {bytes.substr(0, cut), bytes.substr(cut)}) {
             r.add(part);
             while (auto m = r.next()) got.push_back(std::move(*m));
         }
         RC_ASSERT(!r.broken());
         RC_ASSERT(got.size() == 6U);
-        RC_ASSERT(std::get<wire::MeshHeartbeat>(got[1]) == heartbeat);
-        RC_ASSERT(std::get<wire::MeshAsk>(got[2]) == ask);
-        RC_ASSERT(std::get<wire::MeshPromise>(got[3]) == promise);
-        RC_ASSERT(std::get<wire::MeshHold>(got[4]) == hold);
-        RC_ASSERT(std::get<wire::MeshCancel>(got[5]) == cancel);
+        RC_ASSERT(std::get<wire::PeerHeartbeat>(got[1]) == heartbeat);
+        RC_ASSERT(std::get<wire::LeaseExtensionRequest>(got[2]) == ask);
+        RC_ASSERT(std::get<wire::LeaseExtensionVote>(got[3]) == promise);
+        RC_ASSERT(std::get<wire::CapacityReservationNotice>(got[4]) == hold);
+        RC_ASSERT(std::get<wire::CancellationBroadcast>(got[5]) == cancel);
     });
 }
 
 TEST(MeshCodec, ReportsComeBackAsTheyWere) {
-    wire::MeshReport m;
-    m.report = test::report("n-000001", "small", "a", true);
-    m.report.notice_s = 12.5;
-    m.report.tasks.push_back({"req-1", 4, 2, core::TaskState::exited, core::ExitCause::stopped, true});
+    wire::WorkerStatusUpdate m;
+    m.heartbeat = test::report("n-000001", "small", "a", true);
+    m.heartbeat.notice_s = 12.5;
+    m.heartbeat.tasks.push_back({"req-1", 4, 2, core::TaskState::exited, core::ExitCause::stopped, true});
     m.heard_us = 123456789;
     m.images = {{"img", 1.5}};
     wire::FrameReader r;
     r.add(wire::encode_frame(m));
     const auto back = r.next();
     ASSERT_TRUE(back.has_value());
-    const auto& b = std::get<wire::MeshReport>(*back);
-    EXPECT_EQ(b.report.machine, m.report.machine);
-    EXPECT_EQ(b.report.notice_s, m.report.notice_s);
-    EXPECT_EQ(b.report.tasks, m.report.tasks);
+    const auto& b = std::get<wire::WorkerStatusUpdate>(*back);
+    EXPECT_EQ(b.heartbeat.machine, m.heartbeat.machine);
+    EXPECT_EQ(b.heartbeat.notice_s, m.heartbeat.notice_s);
+    EXPECT_EQ(b.heartbeat.tasks, m.heartbeat.tasks);
     EXPECT_EQ(b.heard_us, m.heard_us);
     EXPECT_EQ(b.images, m.images);
 }
--- a/tests/pipeline_schedule_test.cpp
+++ b/tests/pipeline_schedule_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "core/aging.hpp"
+#include "core/queue_order.hpp"
 #include "support.hpp"
 
 namespace hatchwind {
@@ -27,53 +27,53 @@
     return job;
 }
 
-Job waiting_job(const std::string& id, Priority priority, std::vector<std::string> awaits) {
+Job waiting_job(const std::string& id, Priority priority, std::vector<std::string> dependencies) {
     Job job = ordinary_job(id, priority);
     job.team_once_released = job.team;
     job.team = core::kWaitingTeam;
-    job.awaits = std::move(awaits);
+    job.dependencies = std::move(dependencies);
     return job;
 }
 
 core::PlacementInput placement_input(const Cluster& cluster, const PipelineSchedule& pipelines) {
     core::PlacementInput input;
-    input.ledger = &cluster.ledger;
+    input.job_table = &cluster.job_table;
     input.cluster_view = &cluster.cluster_view;
     input.teams = &cluster.teams;
     input.objectives = &cluster.objectives;
     input.pipelines = &pipelines;
     for (const auto& [name, team] : cluster.teams) input.own_teams.insert(name);
     input.now = cluster.now;
-    input.wall = cluster.now;
+    input.wall_clock_now = cluster.now;
     return input;
 }
 
-core::FleetInput fleet_input(const Cluster& cluster, const PipelineSchedule& pipelines) {
-    core::FleetInput input;
-    input.ledger = &cluster.ledger;
+core::ScaleOutInput scale_out_input(const Cluster& cluster, const PipelineSchedule& pipelines) {
+    core::ScaleOutInput input;
+    input.job_table = &cluster.job_table;
     input.cluster_view = &cluster.cluster_view;
     input.catalog = &cluster.types;
     input.teams = &cluster.teams;
     input.objectives = &cluster.objectives;
     input.pipelines = &pipelines;
     input.now = cluster.now;
-    input.wall = cluster.now;
+    input.wall_clock_now = cluster.now;
     return input;
 }
 
 PipelineSchedule schedule_of(const Cluster& cluster) {
-    return PipelineSchedule::build(cluster.ledger, cluster.objectives, cluster.now);
+    return PipelineSchedule::build(cluster.job_table, cluster.objectives, cluster.now);
 }
 
 // One machine, full with one task of this job.
-void run_alone(Cluster& cluster, const Job& running, core::Stamp stamp) {
-    cluster.ledger.put_job(running, stamp);
+void run_alone(Cluster& cluster, const Job& running, core::Revision mod_revision) {
+    cluster.job_table.put_job(running, mod_revision);
     core::Chunk chunk;
-    chunk.stamp = stamp + 1;
+    chunk.mod_revision = mod_revision + 1;
     chunk.open[0] = {1, "n-1", 1};
-    cluster.ledger.put_chunk(running.id, 0, chunk);
+    cluster.job_table.put_chunk(running.id, 0, chunk);
     auto report = test::report("n-1", "small", "a");
-    core::TaskReport task;
+    core::TaskStatus task;
     task.job = running.id;
     task.attempt = 1;
     task.state = core::TaskState::running;
@@ -84,12 +84,12 @@
 std::vector<std::string> queue_of(const Cluster& cluster, const PipelineSchedule* pipelines) {
     std::vector<std::string> ids;
     for (const auto* entry :
-         core::queue_order(cluster.ledger, {"x", "y"}, cluster.objectives, cluster.now, pipelines))
+         core::queue_order(cluster.job_table, {"x", "y"}, cluster.objectives, cluster.now, pipelines))
         ids.push_back(entry->job.id);
     return ids;
 }
 
-std::uint32_t machines(const std::map<core::Pool, std::uint32_t>& rentals) {
+std::uint32_t machines(const std::map<core::InstancePool, std::uint32_t>& rentals) {
     std::uint32_t sum = 0;
     for (const auto& [pool, number] : rentals) sum += number;
     return sum;
@@ -99,13 +99,14 @@
 
 class PlainModel {
   public:
-    PlainModel(const core::Ledger& ledger, const std::vector<core::Objective>& objectives, Micros wall)
-        : ledger_(ledger), objectives_(objectives), wall_(wall) {}
+    PlainModel(const core::JobTable& job_table, const std::vector<core::Objective>& objectives,
+               Micros wall_clock_now)
+        : job_table_(job_table), objectives_(objectives), wall_(wall_clock_now) {}
 
     bool needed(const std::string& id) const { return !needed_by(id).empty(); }
 
     Priority priority(const std::string& id) const {
-        Priority highest = ledger_.find(id)->job.priority;
+        Priority highest = job_table_.find(id)->job.priority;
         for (const auto& later : needed_by(id)) highest = std::max(highest, priority(later));
         return highest;
     }
@@ -121,21 +122,21 @@
 
   private:
     bool unfinished(const std::string& id) const {
-        const auto* entry = ledger_.find(id);
+        const auto* entry = job_table_.find(id);
         return entry != nullptr && (entry->job.cancelled || !entry->finished());
     }
     std::vector<std::string> needs(const std::string& id) const {
         std::vector<std::string> found;
-        const Job& job = ledger_.find(id)->job;
+        const Job& job = job_table_.find(id)->job;
         if (!job.waiting()) return found;
-        for (const auto& before : job.awaits) {
+        for (const auto& before : job.dependencies) {
             if (unfinished(before)) found.push_back(before);
         }
         return found;
     }
     std::set<std::string> needed_by(const std::string& id) const {
         std::set<std::string> found;
-        for (const auto& [later, entry] : ledger_.jobs()) {
+        for (const auto& [later, entry] : job_table_.jobs()) {
             const auto before = needs(later);
             if (can_run(later) && std::find(before.begin(), before.end(), id) != before.end())
                 found.insert(later);
@@ -143,15 +144,15 @@
         return found;
     }
     bool can_run(const std::string& id, std::set<std::string> on_path) const {
-        if (!on_path.insert(id).second || ledger_.find(id)->job.cancelled) return false;
+        if (!on_path.insert(id).second || job_table_.find(id)->job.cancelled) return false;
         const auto before = needs(id);
         return std::all_of(before.begin(), before.end(),
-                           [&](const std::string& need) { return can_run(need, on_path); });
+                           [&](const std::string& resources) { return can_run(resources, on_path); });
     }
     Micros soonest_done(const std::string& id) const {
         Micros start = wall_;
         for (const auto& before : needs(id)) start = std::max(start, soonest_done(before));
-        return start + from_seconds(ledger_.find(id)->job.estimate_s * 0.5);
+        return start + from_seconds(job_table_.find(id)->job.estimate_s * 0.5);
     }
     Micros own_due(const Job& job) const {
         std::vector<double> wishes{*job.deadline_s};
@@ -168,18 +169,18 @@
     }
     // `after`: what the stages between the first job of the path and this one take, with this one.
     void walk_paths(const std::string& id, Micros after, std::optional<Micros>& earliest) const {
-        const Job& job = ledger_.find(id)->job;
+        const Job& job = job_table_.find(id)->job;
         if (job.deadline_s) {
             const Micros at = own_due(job) - after;
             if (!earliest || at < *earliest) earliest = at;
         }
         for (const auto& later : needed_by(id)) {
-            const double stage_s = ledger_.find(later)->job.estimate_s * 1.5 + 5;
+            const double stage_s = job_table_.find(later)->job.estimate_s * 1.5 + 5;
             walk_paths(later, after + from_seconds(stage_s), earliest);
         }
     }
 
-    const core::Ledger& ledger_;
+    const core::JobTable& job_table_;
     const std::vector<core::Objective>& objectives_;
     Micros wall_;
 };
@@ -189,48 +190,48 @@
 // Small draws are the likeliest, so what should be rare is the largest.
 bool one_in(int number) { return *rc::gen::inRange(0, number) == number - 1; }
 
-core::Ledger draw_pipelines() {
-    core::Ledger ledger;
+core::JobTable draw_pipelines() {
+    core::JobTable job_table;
     const int jobs = 8 - *rc::gen::inRange(0, 7);
     // Some jobs name what was submitted after them: circles, which no user can make, must do no harm.
     const bool circles = one_in(4);
     for (int i = 0; i < jobs; ++i) {
         const std::string id = "req-" + std::to_string(100 + i);
-        std::vector<std::string> awaits;
+        std::vector<std::string> dependencies;
         const int names = 3 - *rc::gen::inRange(0, 4);
         for (int k = 0; k < names && (i > 0 || circles); ++k)
-            awaits.push_back(random_job_id(circles ? jobs : i));
+            dependencies.push_back(random_job_id(circles ? jobs : i));
         const auto priority = static_cast<Priority>(*rc::gen::inRange(0, 4));
-        Job job = awaits.empty() ? ordinary_job(id, priority) : waiting_job(id, priority, awaits);
+        Job job = dependencies.empty() ? ordinary_job(id, priority) : waiting_job(id, priority, dependencies);
         job.estimate_s = *rc::gen::inRange(0, 40);
         job.accepted = Micros{*rc::gen::inRange(1, 100) * 1'000'000};
         if (*rc::gen::inRange(0, 2) == 0) job.deadline_s = *rc::gen::inRange(-20, 250);
         job.cancelled = one_in(8);
         const bool waiting = job.waiting();
-        ledger.put_job(job, 1);
+        job_table.put_job(job, 1);
         if (!waiting && one_in(4)) {
             core::Chunk chunk;
-            chunk.stamp = 2;
+            chunk.mod_revision = 2;
             chunk.done.insert(0);
-            ledger.put_chunk(id, 0, chunk);
+            job_table.put_chunk(id, 0, chunk);
         }
     }
     // What is over has left the ledger.
-    if (one_in(3)) ledger.erase_job(random_job_id(jobs), 10);
-    return ledger;
+    if (one_in(3)) job_table.erase_job(random_job_id(jobs), 10);
+    return job_table;
 }
 
 TEST(PipelineSchedule, EqualsThePlainModelOnAnyGraph) {
     holds("priority, due, latest start", [] {
-        const core::Ledger ledger = draw_pipelines();
+        const core::JobTable job_table = draw_pipelines();
         std::vector<core::Objective> objectives;
         if (*rc::gen::arbitrary<bool>()) objectives.push_back({"deadline", "c", 0, 0.9, 1.5});
-        const Micros wall{100'000'000};
-        const auto schedule = PipelineSchedule::build(ledger, objectives, wall);
-        const PlainModel model{ledger, objectives, wall};
+        const Micros wall_clock_now{100'000'000};
+        const auto schedule = PipelineSchedule::build(job_table, objectives, wall_clock_now);
+        const PlainModel model{job_table, objectives, wall_clock_now};
         std::size_t demands = 0;
         std::set<std::string> upcoming;
-        for (const auto& [id, entry] : ledger.jobs()) {
+        for (const auto& [id, entry] : job_table.jobs()) {
             const bool runs = model.can_run(id) && (entry.job.waiting() || !entry.finished());
             if (runs && entry.job.waiting()) upcoming.insert(id);
             const InheritedDemand* found = schedule.find(id);
@@ -254,7 +255,7 @@
 
 TEST(PipelineSchedule, WorksBackAlongTheLongestPath) {
     Cluster cluster;
-    cluster.ledger.put_job(ordinary_job("req-1", Priority::best_effort), 1);
+    cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);
     auto longer = waiting_job("req-2", Priority::best_effort, {"req-1"});
     longer.estimate_s = 40;
     auto shorter = waiting_job("req-3", Priority::normal, {"req-1"});
@@ -263,7 +264,7 @@
     last.estimate_s = 8;
     last.accepted = Micros{50'000'000};
     last.deadline_s = 200;
-    for (const auto& job : {longer, shorter, last}) cluster.ledger.put_job(job, 1);
+    for (const auto& job : {longer, shorter, last}) cluster.job_table.put_job(job, 1);
     const auto schedule = schedule_of(cluster);
     const Micros deadline{250'000'000};
     const Micros last_starts = deadline - from_seconds(8 * 1.5 + 5);
@@ -280,10 +281,10 @@
 TEST(PipelineSchedule, ADeadlineThatNoRunCanMeetGivesWayToALaterOne) {
     Cluster cluster;
     cluster.now = Micros{200'000'000};
-    cluster.ledger.put_job(ordinary_job("req-1", Priority::best_effort), 1);
+    cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);
     auto last = waiting_job("req-2", Priority::high, {"req-1"});
     last.deadline_s = 200;  // at 201 s; half of both estimates ends at 230 s
-    cluster.ledger.put_job(last, 1);
+    cluster.job_table.put_job(last, 1);
     const Micros stage = from_seconds(30 * 1.5 + 5);
     EXPECT_EQ(schedule_of(cluster).find("req-1")->due, Micros{401'000'000} - stage) << "late: twice as long";
     cluster.objectives = {{"deadline", "c", 0, 0.9, 1.5}};
@@ -292,20 +293,20 @@
 
 TEST(PipelineSchedule, ACancelledNeedAsksForNothing) {
     Cluster cluster;
-    cluster.ledger.put_job(ordinary_job("req-1", Priority::best_effort), 1);
-    cluster.ledger.put_job(ordinary_job("req-2", Priority::best_effort), 1);
-    cluster.ledger.put_job(waiting_job("req-3", Priority::high, {"req-1", "req-2"}), 1);
+    cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);
+    cluster.job_table.put_job(ordinary_job("req-2", Priority::best_effort), 1);
+    cluster.job_table.put_job(waiting_job("req-3", Priority::high, {"req-1", "req-2"}), 1);
     EXPECT_EQ(schedule_of(cluster).find("req-1")->priority, Priority::high);
     // The cascade has not reached the last job yet.
-    cluster.ledger.put_cancel("req-2", 2, cluster.now);
+    cluster.job_table.put_cancel("req-2", 2, cluster.now);
     EXPECT_TRUE(schedule_of(cluster).demands().empty());
     EXPECT_TRUE(schedule_of(cluster).upcoming().empty());
 }
 
 TEST(PipelineSchedule, BearsLongChainsAndWideFans) {
     constexpr int kJobs = 20000;
-    core::Ledger chain;
-    core::Ledger fan;
+    core::JobTable chain;
+    core::JobTable fan;
     std::vector<std::string> all;
     const auto name = [](int i) { return "req-" + std::to_string(1'000'000 + i); };
     for (int i = 0; i < kJobs; ++i) {
@@ -334,14 +335,14 @@
 
 TEST(PipelineQueue, AChainWithADeadlineGoesBeforeOtherBestEffortWork) {
     Cluster cluster;
-    cluster.ledger.put_job(ordinary_job("req-1", Priority::best_effort), 1);  // the older one
+    cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);  // the older one
     auto first = ordinary_job("req-2", Priority::best_effort);
     first.accepted = Micros{90'000'000};
-    cluster.ledger.put_job(first, 1);
+    cluster.job_table.put_job(first, 1);
     auto last = waiting_job("req-3", Priority::best_effort, {"req-2"});
     last.accepted = Micros{90'000'000};
     last.deadline_s = 150;
-    cluster.ledger.put_job(last, 1);
+    cluster.job_table.put_job(last, 1);
     EXPECT_EQ(queue_of(cluster, nullptr), (std::vector<std::string>{"req-1", "req-2"}));
     const auto schedule = schedule_of(cluster);
     EXPECT_EQ(queue_of(cluster, &schedule), (std::vector<std::string>{"req-2", "req-1"}));
@@ -349,13 +350,13 @@
 
 TEST(PipelineQueue, TheFirstJobOfAHighPipelineGoesBeforeNormalWork) {
     Cluster cluster;
-    cluster.ledger.put_job(ordinary_job("req-1", Priority::normal), 1);
-    cluster.ledger.put_job(ordinary_job("req-2", Priority::best_effort), 1);
-    cluster.ledger.put_job(waiting_job("req-3", Priority::best_effort, {"req-2"}), 1);
+    cluster.job_table.put_job(ordinary_job("req-1", Priority::normal), 1);
+    cluster.job_table.put_job(ordinary_job("req-2", Priority::best_effort), 1);
+    cluster.job_table.put_job(waiting_job("req-3", Priority::best_effort, {"req-2"}), 1);
     auto schedule = schedule_of(cluster);
     EXPECT_EQ(queue_of(cluster, &schedule), (std::vector<std::string>{"req-1", "req-2"}));
     // The last job is submitted now: the need begins with it.
-    cluster.ledger.put_job(waiting_job("req-4", Priority::high, {"req-3"}), 1);
+    cluster.job_table.put_job(waiting_job("req-4", Priority::high, {"req-3"}), 1);
     schedule = schedule_of(cluster);
     EXPECT_EQ(queue_of(cluster, &schedule), (std::vector<std::string>{"req-2", "req-1"}));
 }
@@ -368,22 +369,22 @@
     auto wide = ordinary_job("req-1", Priority::best_effort);
     wide.job_class = "wide";
     wide.accepted = cluster.now;
-    cluster.ledger.put_job(wide, 1);
+    cluster.job_table.put_job(wide, 1);
     auto last = waiting_job("req-2", Priority::best_effort, {"req-1"});
     last.accepted = cluster.now;
     last.deadline_s = 200;
-    cluster.ledger.put_job(last, 1);
+    cluster.job_table.put_job(last, 1);
     auto schedule = schedule_of(cluster);
     const Micros own = cluster.now + from_seconds(40 + 30);
     EXPECT_EQ(core::due_time(wide, cluster.objectives, cluster.now, &schedule), own);
     last.deadline_s = 80;
-    cluster.ledger.put_job(last, 2);
+    cluster.job_table.put_job(last, 2);
     schedule = schedule_of(cluster);
     const Micros planned = cluster.now + from_seconds(80 - 50);
     EXPECT_EQ(core::due_time(wide, cluster.objectives, cluster.now, &schedule), planned);
     // Past the plan, and the deadline can still be met: normal work goes first all the same.
     cluster.now += from_seconds(40);
-    cluster.ledger.put_job(ordinary_job("req-3", Priority::normal), 1);
+    cluster.job_table.put_job(ordinary_job("req-3", Priority::normal), 1);
     schedule = schedule_of(cluster);
     ASSERT_LT(*schedule.find("req-1")->due, cluster.now);
     EXPECT_EQ(queue_of(cluster, &schedule), (std::vector<std::string>{"req-3", "req-1"}));
@@ -396,7 +397,7 @@
     void SetUp() override { cluster.teams["x"] = {"x", 0, 100, 0, 0}; }
 
     void run(Priority priority) { run_alone(cluster, ordinary_job("req-1", priority, 1, 4), 1); }
-    void queue(Priority priority) { cluster.ledger.put_job(ordinary_job("req-2", priority, 1, 4), 3); }
+    void queue(Priority priority) { cluster.job_table.put_job(ordinary_job("req-2", priority, 1, 4), 3); }
     core::PlacementResult place() const {
         const auto schedule = schedule_of(cluster);
         core::FreeCapacity capacity = cluster.free_capacity();
@@ -408,27 +409,27 @@
     run(Priority::normal);
     queue(Priority::best_effort);
     EXPECT_TRUE(place().stops.empty());
-    cluster.ledger.put_job(waiting_job("req-3", Priority::high, {"req-2"}), 4);
+    cluster.job_table.put_job(waiting_job("req-3", Priority::high, {"req-2"}), 4);
     ASSERT_EQ(place().stops.size(), 1U);
     EXPECT_EQ(place().stops[0].job, "req-1");
 }
 
 TEST_F(FullMachine, EqualPrioritiesNeverPreempt) {
     for (const Priority running : {Priority::best_effort, Priority::normal, Priority::high}) {
-        cluster.ledger.clear();
+        cluster.job_table.clear();
         run(running);
         queue(Priority::best_effort);
-        cluster.ledger.put_job(waiting_job("req-3", running, {"req-2"}), 4);
+        cluster.job_table.put_job(waiting_job("req-3", running, {"req-2"}), 4);
         EXPECT_TRUE(place().stops.empty()) << "inherited against own";
         queue(running);
         EXPECT_TRUE(place().stops.empty()) << "own against own";
     }
     // Both inherit the same.
-    cluster.ledger.clear();
+    cluster.job_table.clear();
     run(Priority::best_effort);
     queue(Priority::best_effort);
-    cluster.ledger.put_job(waiting_job("req-3", Priority::high, {"req-1"}), 4);
-    cluster.ledger.put_job(waiting_job("req-4", Priority::high, {"req-2"}), 4);
+    cluster.job_table.put_job(waiting_job("req-3", Priority::high, {"req-1"}), 4);
+    cluster.job_table.put_job(waiting_job("req-4", Priority::high, {"req-2"}), 4);
     EXPECT_TRUE(place().stops.empty()) << "inherited against inherited";
 }
 
@@ -436,10 +437,10 @@
     run(Priority::best_effort);
     queue(Priority::normal);
     EXPECT_EQ(place().stops.size(), 1U);
-    cluster.ledger.put_job(waiting_job("req-3", Priority::high, {"req-1"}), 4);
+    cluster.job_table.put_job(waiting_job("req-3", Priority::high, {"req-1"}), 4);
     EXPECT_TRUE(place().stops.empty());
     // From the moment when nobody needs it any more it is what it was.
-    cluster.ledger.put_cancel("req-3", 5, cluster.now);
+    cluster.job_table.put_cancel("req-3", 5, cluster.now);
     EXPECT_EQ(place().stops.size(), 1U);
 }
 
@@ -447,15 +448,15 @@
     run(Priority::normal);
     auto first = ordinary_job("req-2", Priority::best_effort, 1, 4);
     first.accepted = cluster.now - from_seconds(30);
-    cluster.ledger.put_job(first, 3);
+    cluster.job_table.put_job(first, 3);
     auto last = waiting_job("req-3", Priority::high, {"req-2"});
     last.accepted = cluster.now;
     constexpr double kBothStages = 2 * (30 * 1.5 + 5);
     last.deadline_s = kBothStages;
-    cluster.ledger.put_job(last, 4);
+    cluster.job_table.put_job(last, 4);
     EXPECT_EQ(place().stops.size(), 1U) << "it must start now";
     last.deadline_s = kBothStages + 20;
-    cluster.ledger.put_job(last, 5);
+    cluster.job_table.put_job(last, 5);
     EXPECT_TRUE(place().stops.empty()) << "20 s are left";
     cluster.objectives = {{"wait", "c", 60, 0.9, 1}};
     EXPECT_EQ(place().stops.size(), 1U) << "half of what its class may wait is over";
@@ -467,40 +468,40 @@
     holds("stops", [] {
         Cluster cluster = test::draw_cluster();
         // Nothing is overdue: what must begin may find its place elsewhere later in the same pass.
-        core::Stamp stamp = 1000;
-        for (const auto& [id, entry] : core::Ledger::Jobs{cluster.ledger.jobs()}) {
+        core::Revision mod_revision = 1000;
+        for (const auto& [id, entry] : core::JobTable::Jobs{cluster.job_table.jobs()}) {
             Job job = entry.job;
             job.accepted = cluster.now - from_seconds(60);
-            cluster.ledger.put_job(job, ++stamp);
+            cluster.job_table.put_job(job, ++mod_revision);
         }
-        for (int i = 0; i < 4 && !cluster.ledger.jobs().empty(); ++i) {
-            auto at = cluster.ledger.jobs().begin();
-            std::advance(at, *rc::gen::inRange<int>(0, static_cast<int>(cluster.ledger.jobs().size())));
+        for (int i = 0; i < 4 && !cluster.job_table.jobs().empty(); ++i) {
+            auto at = cluster.job_table.jobs().begin();
+            std::advance(at, *rc::gen::inRange<int>(0, static_cast<int>(cluster.job_table.jobs().size())));
             const auto priority = static_cast<Priority>(*rc::gen::inRange(0, 4));
             auto last = waiting_job("req-w" + std::to_string(i), priority, {at->first});
             if (*rc::gen::arbitrary<bool>()) last.deadline_s = *rc::gen::inRange(1, 200);
-            cluster.ledger.put_job(last, ++stamp);
+            cluster.job_table.put_job(last, ++mod_revision);
         }
         const auto schedule = schedule_of(cluster);
         core::FreeCapacity capacity = cluster.free_capacity();
         const auto result = core::place(placement_input(cluster, schedule), capacity);
         // Guarantees count what the pass itself starts, and what it clears capacity for.
-        std::map<std::string, core::Amount> use;
-        for (const auto& [name, team] : cluster.teams) use[name] = cluster.ledger.team_use(name);
+        std::map<std::string, core::Resources> use;
+        for (const auto& [name, team] : cluster.teams) use[name] = cluster.job_table.team_use(name);
         for (const auto& start : result.starts) {
-            const Job& job = cluster.ledger.find(start.job)->job;
+            const Job& job = cluster.job_table.find(start.job)->job;
             RC_ASSERT(!job.waiting());
-            use[job.team] += job.need;
+            use[job.team] += job.resources;
         }
         for (const auto& [task, reservation] : result.reservations)
-            use[cluster.ledger.find(task.job)->job.team] += reservation.need;
+            use[cluster.job_table.find(task.job)->job.team] += reservation.resources;
         for (const auto& stop : result.stops) {
-            const Job& victim = cluster.ledger.find(stop.job)->job;
-            const bool beyond_guarantee = use[victim.team].cpus > cluster.teams.at(victim.team).cpus;
+            const Job& victim = cluster.job_table.find(stop.job)->job;
+            const bool beyond_quota = use[victim.team].cpus > cluster.teams.at(victim.team).cpus;
             const auto goes_before = [&](const auto& reserved) {
-                const Job& job = cluster.ledger.find(reserved.first.job)->job;
+                const Job& job = cluster.job_table.find(reserved.first.job)->job;
                 if (reserved.second.machine != stop.attempt.machine) return false;
-                if (beyond_guarantee && job.team != victim.team) return true;
+                if (beyond_quota && job.team != victim.team) return true;
                 return core::effective_priority(job, &schedule) > core::effective_priority(victim, &schedule);
             };
             RC_ASSERT(std::any_of(result.reservations.begin(), result.reservations.end(), goes_before));
@@ -511,7 +512,7 @@
 
 // ---- Waiting jobs count nowhere.
 
-TEST(WaitingJobs, CountNowhereInAPlacementPass) {
+TEST(DependencyAdmission, CountNowhereInAPlacementPass) {
     holds("the same pass with and without", [] {
         Cluster with = test::draw_cluster();
         Cluster without = with;
@@ -520,7 +521,7 @@
             auto job = waiting_job("req-w" + std::to_string(i), Priority::production, {"req-gone"});
             job.tasks = 50;
             job.accepted = Micros{0};
-            with.ledger.put_job(job, 1000);
+            with.job_table.put_job(job, 1000);
         }
         core::FreeCapacity capacity_with = with.free_capacity();
         core::FreeCapacity capacity_without = without.free_capacity();
@@ -535,12 +536,12 @@
         }
         RC_ASSERT(result.stops.size() == expected.stops.size());
         RC_ASSERT(result.reservations.size() == expected.reservations.size());
-        RC_ASSERT(core::plan_rentals({}, fleet_input(with, schedule), with.free_capacity()) ==
-                  core::plan_rentals({}, fleet_input(without, none), without.free_capacity()));
+        RC_ASSERT(core::plan_scale_out({}, scale_out_input(with, schedule), with.free_capacity()) ==
+                  core::plan_scale_out({}, scale_out_input(without, none), without.free_capacity()));
     });
 }
 
-TEST(WaitingJobs, TakeNoPartOfAGuarantee) {
+TEST(DependencyAdmission, TakeNoPartOfAGuarantee) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 4, 24, 0, 0};
     cluster.teams["y"] = {"y", 0, 24, 0, 0};
@@ -549,10 +550,10 @@
     run_alone(cluster, other, 1);
     auto waiting = waiting_job("req-2", Priority::best_effort, {"req-1"});  // older, and of the same team
     waiting.tasks = 4;
-    cluster.ledger.put_job(waiting, 3);
+    cluster.job_table.put_job(waiting, 3);
     Job queued = ordinary_job("req-3", Priority::best_effort, 1, 4);
     queued.accepted = Micros{2'000'000};
-    cluster.ledger.put_job(queued, 4);
+    cluster.job_table.put_job(queued, 4);
     const PipelineSchedule none;
     core::FreeCapacity capacity = cluster.free_capacity();
     EXPECT_EQ(core::place(placement_input(cluster, none), capacity).stops.size(), 1U)
@@ -567,16 +568,17 @@
     cluster.cluster_view.apply(test::report("n-1", "small", "a"), cluster.now, cluster.now);
     auto first = ordinary_job("req-1", Priority::best_effort, 100, 1);
     first.accepted = cluster.now;
-    cluster.ledger.put_job(first, 1);
+    cluster.job_table.put_job(first, 1);
     const auto rented = [&] {
         const auto schedule = schedule_of(cluster);
-        return machines(core::plan_rentals({}, fleet_input(cluster, schedule), cluster.free_capacity()));
+        return machines(
+            core::plan_scale_out({}, scale_out_input(cluster, schedule), cluster.free_capacity()));
     };
     const std::uint32_t alone = rented();
     auto last = waiting_job("req-2", Priority::best_effort, {"req-1"});
     last.accepted = cluster.now;
     last.deadline_s = 100;
-    cluster.ledger.put_job(last, 2);
+    cluster.job_table.put_job(last, 2);
     EXPECT_GT(rented(), alone);
 }
 
@@ -586,16 +588,16 @@
     run_alone(cluster, ordinary_job("req-1", Priority::best_effort, 1, 4), 1);  // 15 s are left of it
     auto wide = waiting_job("req-2", Priority::best_effort, {"req-1"});
     wide.tasks = 100;
-    cluster.ledger.put_job(wide, 3);
+    cluster.job_table.put_job(wide, 3);
     // The needs of this one are not known yet.
-    cluster.ledger.put_job(waiting_job("req-3", Priority::best_effort, {}), 3);
+    cluster.job_table.put_job(waiting_job("req-3", Priority::best_effort, {}), 3);
     const auto schedule = schedule_of(cluster);
     ASSERT_EQ(schedule.upcoming().size(), 1U);
     const auto rented = [&](double ahead_s) {
-        core::FleetSettings settings;
+        core::ScaleOutSettings settings;
         settings.release_ahead_s = ahead_s;
         return machines(
-            core::plan_rentals(settings, fleet_input(cluster, schedule), cluster.free_capacity()));
+            core::plan_scale_out(settings, scale_out_input(cluster, schedule), cluster.free_capacity()));
     };
     EXPECT_EQ(rented(0), 0U);
     EXPECT_EQ(rented(10), 0U) << "not released that soon";
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -14,9 +14,9 @@
 
 std::string id_of(int number) { return "req-" + std::to_string(number); }
 
-Json dependent(const std::string& id, const std::string& team, const std::vector<std::string>& awaits) {
+Json dependent(const std::string& id, const std::string& team, const std::vector<std::string>& dependencies) {
     Json submission = Site::submission(id, team, "sweep", 1);
-    submission["awaits"] = awaits;
+    submission["awaits"] = dependencies;
     return submission;
 }
 
@@ -24,8 +24,8 @@
 Task<Json> submit(Site& s, Json submission) {
     const std::string id = submission["id"];
     if (submission.contains("awaits")) {
-        for (const auto& need : submission["awaits"])
-            s.world.needs[id].push_back(need.get<std::string>() + "/0");
+        for (const auto& resources : submission["awaits"])
+            s.world.needs[id].push_back(resources.get<std::string>() + "/0");
     }
     auto task = s.insist("POST", "/api/jobs", std::move(submission), {200, 201});
     Json answer = co_await std::move(task);
@@ -81,9 +81,9 @@
 const std::set<std::string> kCancelled{"cancelled"};
 
 TEST(PipelineSubmission, TheNamesOfOtherJobsAreCheckedForTheirShape) {
-    const auto parse = [](const Json& awaits) {
+    const auto parse = [](const Json& dependencies) {
         Json submission = Site::submission("req-7", "x", "sweep", 1);
-        submission["awaits"] = awaits;
+        submission["awaits"] = dependencies;
         return wire::parse_submission(submission);
     };
     const std::vector<Json> malformed = {Json("req-1"),
@@ -94,15 +94,15 @@
                                          Json::array({"req-1", "job-2"}),
                                          Json::array({"req-1", nullptr}),
                                          Json::array({"req-7"})};
-    for (const Json& awaits : malformed) {
-        const auto parsed = parse(awaits);
-        ASSERT_TRUE(std::holds_alternative<std::string>(parsed)) << awaits;
+    for (const Json& dependencies : malformed) {
+        const auto parsed = parse(dependencies);
+        ASSERT_TRUE(std::holds_alternative<std::string>(parsed)) << dependencies;
         EXPECT_EQ(std::get<std::string>(parsed), "awaits");
     }
-    EXPECT_TRUE(std::get<core::Job>(parse(nullptr)).awaits.empty());
-    EXPECT_TRUE(std::get<core::Job>(parse(Json::array())).awaits.empty());
+    EXPECT_TRUE(std::get<core::Job>(parse(nullptr)).dependencies.empty());
+    EXPECT_TRUE(std::get<core::Job>(parse(Json::array())).dependencies.empty());
     const auto twice = std::get<core::Job>(parse(Json::array({"req-2", "req-1", "req-2"})));
-    EXPECT_EQ(twice.awaits, (std::vector<std::string>{"req-1", "req-2"}));
+    EXPECT_EQ(twice.dependencies, (std::vector<std::string>{"req-1", "req-2"}));
 }
 
 TEST(PipelineSubmission, WrongShapeIs400NeverAcceptedIs422AndUndecidedIs503) {
@@ -248,7 +248,7 @@
 // records of its own. The middle is over before the last may start; the lists leave the store.
 TEST(Pipelines, AWideFanAndAListBeyondTheValueLimitAreReleased) {
     Site site{3};
-    const auto start_again = [&site](service::Settings& settings) {
+    const auto start_again = [&site](controller::Settings& settings) {
         settings.value_kb = 2;
         settings.txn_ops = 4;
     };
@@ -519,10 +519,10 @@
             return Treatment::carry_out;
         };
         s.world.endless.clear();
-        const std::function<bool()> held = [&late] {
+        const std::function<bool()> recorded_attempts = [&late] {
             return late.contains("req-2") && late.contains("req-3");
         };
-        auto waiting = s.until(held);
+        auto waiting = s.until(recorded_attempts);
         co_await std::move(waiting);
         auto cancelling = cancel(s, "req-2");
         const auto answer25 = co_await std::move(cancelling);
@@ -625,7 +625,7 @@
         rewritten.erase("awaits");
         rewritten.erase("later_team");
         rewritten["cancelled"] = io::wall_now().count();
-        EXPECT_EQ(s.state.late_commit({{"when", {{{"path", "h/job/req-2"}, {"stamp", item.stamp}}}},
+        EXPECT_EQ(s.state.late_commit({{"when", {{{"path", "h/job/req-2"}, {"stamp", item.mod_revision}}}},
                                        {"writes", {{{"write", "h/job/req-2"}, {"v", rewritten}}}}}),
                   200);
         for (const std::string id : {"req-2", "req-3"}) {
@@ -655,7 +655,7 @@
         stripped.erase("awaits");
         stripped.erase("later_team");
         const auto read = wire::parse_job_record("req-2", stripped);
-        EXPECT_TRUE(read && read->waiting() && !read->needs_known());
+        EXPECT_TRUE(read && read->waiting() && !read->dependencies_known());
         s.state.late_commit(
             {{"when", Json::array()}, {"writes", {{{"write", "h/job/req-2"}, {"v", stripped}}}}});
         s.world.endless.clear();
@@ -670,19 +670,19 @@
 
 // A heartbeat as an earlier version sends it ends before the capabilities.
 TEST(MixedVersions, AHeartbeatOfAnEarlierVersionAnnouncesNothing) {
-    wire::MeshHeartbeat heartbeat;
+    wire::PeerHeartbeat heartbeat;
     heartbeat.label = "n1";
     heartbeat.capabilities = core::kCapabilities;
     std::string frame = wire::encode_frame(heartbeat);
     wire::FrameReader reader;
     reader.add(frame);
-    EXPECT_EQ(std::get<wire::MeshHeartbeat>(*reader.next()).capabilities, core::kCapabilities);
+    EXPECT_EQ(std::get<wire::PeerHeartbeat>(*reader.next()).capabilities, core::kCapabilities);
     frame.pop_back();
     frame[0] = static_cast<char>(frame[0] - 1);
     reader.add(frame);
     const auto earlier = reader.next();
     ASSERT_TRUE(earlier);
-    EXPECT_EQ(std::get<wire::MeshHeartbeat>(*earlier).capabilities, 0U);
+    EXPECT_EQ(std::get<wire::PeerHeartbeat>(*earlier).capabilities, 0U);
 }
 
 }  // namespace
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -11,13 +11,13 @@
 
 core::PlacementInput input(const Cluster& c) {
     core::PlacementInput in;
-    in.ledger = &c.ledger;
+    in.job_table = &c.job_table;
     in.cluster_view = &c.cluster_view;
     in.teams = &c.teams;
     in.objectives = &c.objectives;
     for (const auto& [name, t] : c.teams) in.own_teams.insert(name);
     in.now = c.now;
-    in.wall = c.now;
+    in.wall_clock_now = c.now;
     return in;
 }
 
@@ -27,21 +27,21 @@
         core::FreeCapacity capacity = c.free_capacity();
         const core::FreeCapacity before = c.free_capacity();
         const auto out = core::place(input(c), capacity);
-        std::map<std::string, core::Amount> use;
-        std::map<std::string, core::Amount> free;
-        for (const auto& [name, t] : c.teams) use[name] = c.ledger.team_use(name);
+        std::map<std::string, core::Resources> use;
+        std::map<std::string, core::Resources> free;
+        for (const auto& [name, t] : c.teams) use[name] = c.job_table.team_use(name);
         for (const auto& m : before.machines()) free[m.id] = m.free;
         std::map<std::string, core::ZoneUse> zones;
         std::set<core::TaskRef> seen;
         for (const auto& s : out.starts) {
-            const auto& e = *c.ledger.find(s.job);
+            const auto& e = *c.job_table.find(s.job);
             const auto& m = *before.find(s.attempt.machine);
             RC_ASSERT((seen.insert({s.job, s.task}).second));
-            RC_ASSERT(c.ledger.open_attempt(s.job, s.task) == nullptr);
+            RC_ASSERT(c.job_table.open_attempt(s.job, s.task) == nullptr);
             RC_ASSERT(!m.spot || e.job.spot);
-            RC_ASSERT(s.attempt.session == m.session);
-            use[e.job.team] += e.job.need;
-            free[m.id] -= e.job.need;
+            RC_ASSERT(s.attempt.incarnation == m.incarnation);
+            use[e.job.team] += e.job.resources;
+            free[m.id] -= e.job.resources;
             auto& z = zones.try_emplace(s.job, core::ZoneUse::of(e, before)).first->second;
             RC_ASSERT(z.allows(e.job, m.zone));
             z.add(m.zone);
@@ -50,9 +50,9 @@
         for (const auto& [id, f] : free) RC_ASSERT(f.cpus >= -1e-6);
         // Only what may be stopped is stopped.
         for (const auto& s : out.stops) {
-            const auto* a = c.ledger.open_attempt(s.job, s.task);
+            const auto* a = c.job_table.open_attempt(s.job, s.task);
             RC_ASSERT(a != nullptr && *a == s.attempt);
-            RC_ASSERT(c.ledger.find(s.job)->job.kind != core::JobKind::gang);
+            RC_ASSERT(c.job_table.find(s.job)->job.kind != core::JobKind::gang);
         }
     });
 }
@@ -62,7 +62,7 @@
     c.teams["x"] = {"x", 8, 24, 0, 0};
     for (const char* id : {"n-1", "n-2", "n-3"})
         c.cluster_view.apply(test::report(id, "small", "a"), c.now, c.now);
-    c.ledger.put_job(test::job("req-1", "x", 2, 4), 1);
+    c.job_table.put_job(test::job("req-1", "x", 2, 4), 1);
     core::Availability a;
     a.now = c.now;
     a.silent_after = Micros{10'000'000};
@@ -80,8 +80,8 @@
     c.teams["x"] = {"x", 8, 24, 0, 0};
     for (const char* id : {"n-1", "n-2", "n-3"})
         c.cluster_view.apply(test::report(id, "small", "a", true), c.now, c.now);
-    c.cluster_view.note_image("n-3", "img", 1, 20, c.now);
-    c.ledger.put_job(test::job("req-1", "x", 1, 1), 1);
+    c.cluster_view.record_image("n-3", "img", 1, 20, c.now);
+    c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
     core::FreeCapacity capacity = c.free_capacity();
     const auto out = core::place(input(c), capacity);
     ASSERT_EQ(out.starts.size(), 1U);
@@ -90,7 +90,7 @@
 
 // Under overload the job that waited longest was always served first, and each was late in its turn.
 TEST(Placement, WhatCanStillBeInTimeGoesBeforeWhatIsLate) {
-    core::Ledger l;
+    core::JobTable l;
     const std::vector<core::Objective> objectives{{"finished", "c", 100, 0.9, 1},
                                                   {"finished", "c", 300, 0.9, 1}};
     auto late = test::job("req-1", "x", 1, 1);
@@ -116,7 +116,7 @@
     c.cluster_view.apply(test::report("n-1", "big", "a"), c.now, c.now);
     auto own = test::job("req-1", "x", 20, 1);  // more than the guarantee, so not within it
     own.accepted = c.now;
-    c.ledger.put_job(own, 1);
+    c.job_table.put_job(own, 1);
     auto in = input(c);
     in.own_teams = {"x"};
     in.most_starts = 100;
@@ -125,19 +125,19 @@
         return core::place(in, capacity).starts.size();
     };
     EXPECT_EQ(starts(), 16U);
-    auto owed = test::job("req-2", "y", 4, 1);
-    owed.accepted = c.now;
-    c.ledger.put_job(owed, 2);
+    auto reserved = test::job("req-2", "y", 4, 1);
+    reserved.accepted = c.now;
+    c.job_table.put_job(reserved, 2);
     EXPECT_EQ(starts(), 12U);
     // What has waited for long waits for something else than capacity.
-    in.wall = c.now + Micros{61'000'000};
+    in.wall_clock_now = c.now + Micros{61'000'000};
     EXPECT_EQ(starts(), 16U);
     // With all of it owed, an overdue job begins all the same, with one task.
     c.teams["y"].cpus = 40;
-    in.wall = c.now + Micros{91'000'000};
+    in.wall_clock_now = c.now + Micros{91'000'000};
     auto more = test::job("req-3", "y", 20, 1);
-    more.accepted = in.wall;
-    c.ledger.put_job(more, 3);
+    more.accepted = in.wall_clock_now;
+    c.job_table.put_job(more, 3);
     EXPECT_EQ(starts(), 1U);
 }
 
@@ -145,19 +145,19 @@
 TEST(Placement, TheFirstTaskOfAnOverdueJobIsStoppedLast) {
     Cluster c;
     c.teams["x"] = {"x", 40, 40, 0, 0};
-    core::Stamp stamp = 0;
+    core::Revision mod_revision = 0;
     const auto run = [&](const char* id, const char* machine, Micros accepted) {
         auto j = test::job(id, "x", 3, 4);
         j.priority = core::Priority::best_effort;
         j.accepted = accepted;
-        c.ledger.put_job(j, ++stamp);
+        c.job_table.put_job(j, ++mod_revision);
         core::Chunk chunk;
-        chunk.stamp = ++stamp;
+        chunk.mod_revision = ++mod_revision;
         chunk.open[0] = {1, machine, 1};
         chunk.last_attempt = 1;
-        c.ledger.put_chunk(id, 0, chunk);
+        c.job_table.put_chunk(id, 0, chunk);
         auto r = test::report(machine, "small", "a");
-        core::TaskReport t;
+        core::TaskStatus t;
         t.job = id;
         t.attempt = 1;
         t.state = core::TaskState::running;
@@ -169,7 +169,7 @@
     auto service = test::job("req-3", "x", 2, 4);
     service.kind = core::JobKind::service;
     service.priority = core::Priority::production;
-    c.ledger.put_job(service, ++stamp);
+    c.job_table.put_job(service, ++mod_revision);
     core::FreeCapacity capacity = c.free_capacity();
     const auto out = core::place(input(c), capacity);
     ASSERT_EQ(out.stops.size(), 2U);  // it may be stopped, if there is nothing else
@@ -179,20 +179,20 @@
 
 // Work that has missed all its wishes moved behind every newcomer, for as long as newcomers came.
 TEST(Placement, WhatIsLateByAllItsWishesIsNotPassedForEver) {
-    core::Ledger l;
+    core::JobTable l;
     const std::vector<core::Objective> objectives{{"finished", "c", 100, 0.9, 1},
                                                   {"finished", "c", 300, 0.9, 1}};
     auto late = test::job("req-1", "x", 1, 1);
     late.priority = core::Priority::best_effort;
     l.put_job(late, 1);
     const auto first_at = [&](int second, core::Priority newcomer) {
-        const Micros wall = late.accepted + Micros{second * 1'000'000LL};
+        const Micros wall_clock_now = late.accepted + Micros{second * 1'000'000LL};
         auto fresh = test::job("req-2", "x", 1, 1);
-        fresh.accepted = wall;
+        fresh.accepted = wall_clock_now;
         fresh.priority = newcomer;
-        core::Ledger both = l;
+        core::JobTable both = l;
         both.put_job(fresh, 2);
-        return core::queue_order(both, {"x"}, objectives, wall).front()->job.id;
+        return core::queue_order(both, {"x"}, objectives, wall_clock_now).front()->job.id;
     };
     EXPECT_EQ(first_at(400, core::Priority::best_effort), "req-2");
     EXPECT_EQ(first_at(550, core::Priority::best_effort), "req-1");
@@ -207,7 +207,7 @@
     for (const char* id : {"n-1", "n-2"}) c.cluster_view.apply(test::report(id, "small", "a"), c.now, c.now);
     auto gang = test::job("req-1", "x", 3, 4);
     gang.kind = core::JobKind::gang;
-    c.ledger.put_job(gang, 1);
+    c.job_table.put_job(gang, 1);
     core::FreeCapacity capacity = c.free_capacity();
     EXPECT_TRUE(core::place(input(c), capacity).starts.empty());
     c.cluster_view.apply(test::report("n-3", "small", "b"), c.now, c.now);
@@ -216,26 +216,26 @@
     ASSERT_EQ(out.starts.size(), 3U);
     for (const auto& s : out.starts) EXPECT_EQ(s.attempt.number, 1U);
     gang.one_zone = true;
-    c.ledger.put_job(gang, 2);
+    c.job_table.put_job(gang, 2);
     capacity = c.free_capacity();
     EXPECT_TRUE(core::place(input(c), capacity).starts.empty()) << "no zone holds three";
 }
 
 // One machine, full of req-1's only task. Gives the machine's report and the job's record for what comes
 // next.
-std::pair<core::WorkerReport, core::Chunk> occupy(Cluster& c) {
+std::pair<core::WorkerHeartbeat, core::Chunk> occupy(Cluster& c) {
     auto r = test::report("n-1", "small", "a");
-    core::TaskReport t;
+    core::TaskStatus t;
     t.job = "req-1";
     t.attempt = 1;
     t.state = core::TaskState::running;
     r.tasks = {t};
     c.cluster_view.apply(r, c.now, c.now);
-    c.ledger.put_job(test::job("req-1", "x", 1, 4), 1);
+    c.job_table.put_job(test::job("req-1", "x", 1, 4), 1);
     core::Chunk chunk;
-    chunk.stamp = 2;
+    chunk.mod_revision = 2;
     chunk.open[0] = {1, "n-1", 1};
-    c.ledger.put_chunk("req-1", 0, chunk);
+    c.job_table.put_chunk("req-1", 0, chunk);
     return {r, chunk};
 }
 
@@ -248,7 +248,7 @@
     service.kind = core::JobKind::service;
     service.priority = core::Priority::production;
     service.spot = false;
-    c.ledger.put_job(service, 3);
+    c.job_table.put_job(service, 3);
     auto in = input(c);
     core::FreeCapacity capacity = c.free_capacity();
     auto out = core::place(in, capacity);
@@ -261,11 +261,11 @@
     out = core::place(in, capacity);
     EXPECT_TRUE(out.stops.empty());
     // The victim has ended: the capacity is the service's, though the victim is queued too.
-    chunk.stamp = 4;
+    chunk.mod_revision = 4;
     chunk.open.clear();
-    c.ledger.put_chunk("req-1", 0, chunk);
+    c.job_table.put_chunk("req-1", 0, chunk);
     r.tasks.clear();
-    r.tick = 2;
+    r.heartbeat_sequence = 2;
     c.cluster_view.apply(r, c.now, c.now);
     capacity = c.free_capacity();
     out = core::place(in, capacity);
@@ -278,10 +278,10 @@
     c.teams["x"] = {"x", 0, 24, 0, 0};
     c.teams["y"] = {"y", 4, 24, 0, 0};
     occupy(c);
-    c.ledger.put_job(test::job("req-2", "y", 2, 4), 3);
+    c.job_table.put_job(test::job("req-2", "y", 2, 4), 3);
     core::FreeCapacity capacity = c.free_capacity();
     EXPECT_TRUE(core::place(input(c), capacity).stops.empty());
-    c.ledger.put_job(test::job("req-2", "y", 1, 4), 4);
+    c.job_table.put_job(test::job("req-2", "y", 1, 4), 4);
     capacity = c.free_capacity();
     EXPECT_EQ(core::place(input(c), capacity).stops.size(), 1U) << "within its guarantee it need not wait";
 }
@@ -297,20 +297,20 @@
         high.priority = core::Priority::normal;
         auto low = test::job("req-2", "y", 1, 4);
         low.priority = core::Priority::best_effort;
-        c.ledger.put_job(high, 1);
-        c.ledger.put_job(low, 2);
+        c.job_table.put_job(high, 1);
+        c.job_table.put_job(low, 2);
         const std::string running = higher_runs ? "req-1" : "req-2";
         auto r = test::report("n-1", "small", "a");
-        core::TaskReport t;
+        core::TaskStatus t;
         t.job = running;
         t.attempt = 1;
         t.state = core::TaskState::running;
         r.tasks = {t};
         c.cluster_view.apply(r, c.now, c.now);
         core::Chunk chunk;
-        chunk.stamp = 3;
+        chunk.mod_revision = 3;
         chunk.open[0] = {1, "n-1", 1};
-        c.ledger.put_chunk(running, 0, chunk);
+        c.job_table.put_chunk(running, 0, chunk);
         core::FreeCapacity capacity = c.free_capacity();
         EXPECT_EQ(core::place(input(c), capacity).stops.size(), higher_runs ? 1U : 0U);
     }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -10,15 +10,15 @@
 
 core::DrainInput drain_input(const Cluster& c) {
     core::DrainInput in;
-    in.ledger = &c.ledger;
+    in.job_table = &c.job_table;
     in.cluster_view = &c.cluster_view;
     in.now = c.now;
     return in;
 }
 
-core::FleetInput fleet_input(const Cluster& c) {
-    core::FleetInput in;
-    in.ledger = &c.ledger;
+core::ScaleOutInput scale_out_input(const Cluster& c) {
+    core::ScaleOutInput in;
+    in.job_table = &c.job_table;
     in.cluster_view = &c.cluster_view;
     in.catalog = &c.types;
     in.teams = &c.teams;
@@ -35,17 +35,17 @@
         core::Availability plain;
         plain.now = c.now;
         plain.silent_after = core::Micros{10'000'000};
-        core::Stamp stamp = 1000;
-        std::uint64_t tick = 1;
+        core::Revision mod_revision = 1000;
+        std::uint64_t heartbeat_sequence = 1;
         for (int round = 0; round < 6; ++round) {
-            const auto a = core::FreeCapacity::build(c.cluster_view, c.ledger, c.types, plain);
-            const auto b = core::FreeCapacity::build(c.cluster_view, c.ledger, c.types, plain, &memory);
+            const auto a = core::FreeCapacity::build(c.cluster_view, c.job_table, c.types, plain);
+            const auto b = core::FreeCapacity::build(c.cluster_view, c.job_table, c.types, plain, &memory);
             RC_ASSERT(a.machines().size() == b.machines().size());
             for (std::size_t i = 0; i < a.machines().size(); ++i) {
                 RC_ASSERT(a.machines()[i].id == b.machines()[i].id);
                 RC_ASSERT(std::abs(a.machines()[i].free.cpus - b.machines()[i].free.cpus) < 1e-9);
                 RC_ASSERT(std::abs(a.machines()[i].free.memory_gb - b.machines()[i].free.memory_gb) < 1e-9);
-                RC_ASSERT(a.machines()[i].held == b.machines()[i].held);
+                RC_ASSERT(a.machines()[i].recorded_attempts == b.machines()[i].recorded_attempts);
             }
             if (a.machines().empty()) break;
             const auto& m = *rc::gen::elementOf(a.machines());
@@ -55,27 +55,27 @@
                     c.cluster_view.release(id, c.now);
                     break;
                 case 1: {  // a task ends, or the session does
-                    auto r = c.cluster_view.find(id)->last;
-                    r.tick = ++tick;
+                    auto r = c.cluster_view.find(id)->last_heartbeat;
+                    r.heartbeat_sequence = ++heartbeat_sequence;
                     if (!r.tasks.empty()) r.tasks.front().state = core::TaskState::exited;
-                    if (*rc::gen::arbitrary<bool>()) ++r.session;
+                    if (*rc::gen::arbitrary<bool>()) ++r.incarnation;
                     c.cluster_view.apply(r, c.now, c.now);
                     break;
                 }
                 case 2:
-                    for (const auto& [job, e] : c.ledger.jobs()) {
+                    for (const auto& [job, e] : c.job_table.jobs()) {
                         if (e.chunks.empty()) continue;
                         core::Chunk chunk = e.chunks.begin()->second;
-                        chunk.stamp = ++stamp;
+                        chunk.mod_revision = ++mod_revision;
                         if (!chunk.open.empty()) chunk.open.erase(chunk.open.begin());
-                        c.ledger.put_chunk(std::string(job), e.chunks.begin()->first, chunk);
+                        c.job_table.put_chunk(std::string(job), e.chunks.begin()->first, chunk);
                         break;
                     }
                     break;
                 default:
-                    if (!c.ledger.jobs().empty()) {
-                        const std::string job = c.ledger.jobs().begin()->first;
-                        c.ledger.erase_job(job, ++stamp);
+                    if (!c.job_table.jobs().empty()) {
+                        const std::string job = c.job_table.jobs().begin()->first;
+                        c.job_table.erase_job(job, ++mod_revision);
                     }
             }
         }
@@ -95,19 +95,19 @@
                   std::min(s.fleet_minimum, capacity.machines().size()));
         // Every task on a candidate has a destination that stays, allows it, and has the capacity for all of
         // them.
-        std::map<std::string, core::Amount> free;
+        std::map<std::string, core::Resources> free;
         for (const auto& m : capacity.machines()) free[m.id] = m.free;
         std::map<std::string, core::ZoneUse> zones;
         std::vector<std::tuple<const core::JobEntry*, std::string, std::string>> moves;
         for (const auto& [id, since] : state.candidate_since) {
-            for (const auto& [ref, held] : c.ledger.on_machine(id)) {
-                const auto& e = *held.entry;
+            for (const auto& [ref, recorded_attempts] : c.job_table.on_machine(id)) {
+                const auto& e = *recorded_attempts.entry;
                 RC_ASSERT(e.job.kind != core::JobKind::gang);
                 RC_ASSERT(state.destinations.contains(ref));
                 const auto& to = state.destinations.at(ref);
                 RC_ASSERT(!state.candidate_since.contains(to));
                 RC_ASSERT(core::may_run_on(e.job, *capacity.find(to)));
-                free[to] -= e.job.need;
+                free[to] -= e.job.resources;
                 RC_ASSERT(free[to].cpus >= -1e-6);
                 auto& z = zones.try_emplace(ref.job, core::ZoneUse::of(e, capacity)).first->second;
                 z.remove(capacity.find(id)->zone);
@@ -115,7 +115,7 @@
             }
         }
         for (const auto& [id, z] : zones) {
-            const auto& j = c.ledger.find(id)->job;
+            const auto& j = c.job_table.find(id)->job;
             for (const auto& [zone, n] : z.by_zone) {
                 if (j.spread) RC_ASSERT(n <= j.zone_cap());
                 if (j.one_zone && n > 0) RC_ASSERT(n == z.total);
@@ -173,7 +173,7 @@
                 RC_ASSERT(since == next[id]);  // leaving the set resets the timer
             }
             std::size_t busy = 0;
-            for (const auto& id : draining) busy += c.ledger.on_machine(id).empty() ? 0 : 1;
+            for (const auto& id : draining) busy += c.job_table.on_machine(id).empty() ? 0 : 1;
             for (const auto& list : {out.empty, out.busy}) {
                 for (const auto& id : list) {
                     RC_ASSERT(first.contains(id));
@@ -194,13 +194,13 @@
     Cluster c;
     c.cluster_view.apply(test::report("n-1", "small", "a"), c.now, c.now);
     c.cluster_view.apply(test::report("n-2", "small", "a"), c.now, c.now);
-    c.ledger.put_job(test::job("req-1", "x", 3, 4), 1);
+    c.job_table.put_job(test::job("req-1", "x", 3, 4), 1);
     core::DrainState state;
     const auto in = drain_input(c);
-    EXPECT_FALSE(core::plan_drains({}, in, c.free_capacity(), state).held);
+    EXPECT_FALSE(core::plan_drains({}, in, c.free_capacity(), state).recorded_attempts);
     EXPECT_EQ(state.candidate_since.size(), 1U);
     for (std::uint32_t t = 0; t < 3; ++t) state.recent_stops[{"req-1", t}] = c.now;
-    EXPECT_TRUE(core::plan_drains({}, in, c.free_capacity(), state).held);
+    EXPECT_TRUE(core::plan_drains({}, in, c.free_capacity(), state).recorded_attempts);
     EXPECT_TRUE(state.candidate_since.empty());
 }
 
@@ -251,11 +251,11 @@
     c.teams["x"] = {"x", 100, 100, 0, 0};
     auto j = test::job("req-1", "x", 1, 1);
     j.estimate_s = 1;
-    c.ledger.put_job(j, 1);
-    auto in = fleet_input(c);
-    EXPECT_EQ(core::plan_rentals({}, in, c.free_capacity()).size(), 1U);
+    c.job_table.put_job(j, 1);
+    auto in = scale_out_input(c);
+    EXPECT_EQ(core::plan_scale_out({}, in, c.free_capacity()).size(), 1U);
     c.cluster_view.apply(test::report("n-1", "small", "a"), c.now, c.now);
-    EXPECT_TRUE(core::plan_rentals({}, in, c.free_capacity()).empty());
+    EXPECT_TRUE(core::plan_scale_out({}, in, c.free_capacity()).empty());
 }
 
 TEST(FleetPlanner, RentsForServicesLessWhatIsBooting) {
@@ -265,25 +265,25 @@
     j.kind = core::JobKind::service;
     j.spot = false;
     j.types = std::vector<std::string>{"small"};
-    c.ledger.put_job(j, 1);
-    auto in = fleet_input(c);
+    c.job_table.put_job(j, 1);
+    auto in = scale_out_input(c);
     const auto count = [&] {
         std::uint32_t n = 0;
-        for (const auto& [pool, k] : core::plan_rentals({}, in, c.free_capacity())) {
+        for (const auto& [pool, k] : core::plan_scale_out({}, in, c.free_capacity())) {
             EXPECT_FALSE(pool.spot) << "the job may not run on spot machines";
             n += k;
         }
         return n;
     };
     EXPECT_EQ(count(), 2U);
-    core::Rental b;
+    core::Instance b;
     b.machine = "n-9";
     b.type = "small";
     b.zone = "a";
     in.booting = {b};
     EXPECT_EQ(count(), 1U);
     in.refused_until[{"small", "a", false}] = c.now + Micros{1'000'000};
-    for (const auto& [pool, k] : core::plan_rentals({}, in, c.free_capacity())) EXPECT_EQ(pool.zone, "b");
+    for (const auto& [pool, k] : core::plan_scale_out({}, in, c.free_capacity())) EXPECT_EQ(pool.zone, "b");
 }
 
 }  // namespace
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -1,5 +1,5 @@
 // Late copies, one-way machines, instant restarts and long overload, without input or output.
-#include "service/budget.hpp"
+#include "store/token_bucket.hpp"
 #include "support.hpp"
 
 namespace hatchwind {
@@ -10,8 +10,8 @@
 
 constexpr Micros kDoubt{26'000'000};
 
-core::TaskReport running(const std::string& job, std::uint32_t task, std::uint64_t attempt) {
-    core::TaskReport t;
+core::TaskStatus running(const std::string& job, std::uint32_t task, std::uint64_t attempt) {
+    core::TaskStatus t;
     t.job = job;
     t.task = task;
     t.attempt = attempt;
@@ -20,13 +20,13 @@
 }
 
 // One machine's true history: what it would report at each tick.
-std::vector<core::WorkerReport> draw_history(const std::string& machine) {
-    std::vector<core::WorkerReport> out;
+std::vector<core::WorkerHeartbeat> draw_history(const std::string& machine) {
+    std::vector<core::WorkerHeartbeat> out;
     auto r = test::report(machine, "small", "a");
     std::uint64_t attempt = 0;
     const int n = *rc::gen::inRange(2, 25);
     for (int i = 0; i < n; ++i) {
-        ++r.tick;
+        ++r.heartbeat_sequence;
         switch (*rc::gen::inRange(0, 6)) {
             case 0:
                 r.tasks.push_back(running("req-" + std::to_string(*rc::gen::inRange(0, 3)), 0, ++attempt));
@@ -38,11 +38,11 @@
                 if (!r.tasks.empty()) r.tasks.erase(r.tasks.begin());
                 break;
             case 3:
-                ++r.session;
+                ++r.incarnation;
                 r.tasks.clear();
                 break;
             case 4:
-                ++r.token;
+                ++r.fencing_token;
                 break;
             default:
                 break;
@@ -52,8 +52,8 @@
     return out;
 }
 
-bool same_tasks(const core::WorkerReport& a, const core::WorkerReport& b) {
-    return a.session == b.session && a.tasks == b.tasks;
+bool same_tasks(const core::WorkerHeartbeat& a, const core::WorkerHeartbeat& b) {
+    return a.incarnation == b.incarnation && a.tasks == b.tasks;
 }
 
 // Copies of reports come late, from seconds to well over a lease, and more than once.
@@ -76,17 +76,17 @@
                 changed = now;
             }
             const auto* m = p.find("n-1");
-            RC_ASSERT(m != nullptr && same_tasks(m->last, history[newest]));
+            RC_ASSERT(m != nullptr && same_tasks(m->last_heartbeat, history[newest]));
             RC_ASSERT(m->changed == changed);  // a copy is no sign of life
             RC_ASSERT(!m->confirmed);          // and however many come, they prove none
             for (const auto& r : history) {
                 for (const auto& t : r.tasks) {
-                    const auto v = core::view_attempt(p, t.job, t.task, {t.attempt, "n-1", r.session});
+                    const auto v = core::view_attempt(p, t.job, t.task, {t.attempt, "n-1", r.incarnation});
                     const auto key = std::pair{t.job, t.attempt};
-                    if (v.fate == core::Fate::gone) gone.insert(key);
-                    RC_ASSERT(!gone.contains(key) || v.fate == core::Fate::gone);
+                    if (v.status == core::AttemptStatus::gone) gone.insert(key);
+                    RC_ASSERT(!gone.contains(key) || v.status == core::AttemptStatus::gone);
                     const auto* listed = m->task(t.job, t.task);
-                    RC_ASSERT(v.fate != core::Fate::live ||
+                    RC_ASSERT(v.status != core::AttemptStatus::live ||
                               (listed != nullptr && listed->attempt == t.attempt));
                 }
             }
@@ -97,14 +97,14 @@
 TEST(LateCopies, AMachineTakesTasksOnlyOnceItHasAnswered) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
-    c.ledger.put_job(test::job("req-1", "x", 1, 1), 1);
+    c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
     core::PlacementInput in;
-    in.ledger = &c.ledger;
+    in.job_table = &c.job_table;
     in.cluster_view = &c.cluster_view;
     in.teams = &c.teams;
     in.objectives = &c.objectives;
     in.own_teams = {"x"};
-    in.now = in.wall = c.now;
+    in.now = in.wall_clock_now = c.now;
     const auto starts = [&] {
         core::FreeCapacity capacity = c.free_capacity();
         return core::place(in, capacity).starts.size();
@@ -113,17 +113,17 @@
     c.cluster_view.apply(test::report("n-1", "small", "a"), c.now, c.now, false, kDoubt);
     EXPECT_EQ(starts(), 0U);
     auto copy = test::report("n-1", "small", "a");
-    copy.tick = 7;
+    copy.heartbeat_sequence = 7;
     c.cluster_view.apply(copy, c.now, c.now, false, kDoubt);
     EXPECT_EQ(starts(), 0U) << "two copies prove no more than one";
     auto answer = copy;
-    answer.tick = 9;
+    answer.heartbeat_sequence = 9;
     c.cluster_view.apply(answer, c.now, c.now, true, kDoubt);
     EXPECT_EQ(starts(), 1U);
     // Heard again after a long silence: it may be the last word of a machine that died then.
     c.now += kDoubt * 2;
-    in.now = in.wall = c.now;
-    copy.tick = 11;
+    in.now = in.wall_clock_now = c.now;
+    copy.heartbeat_sequence = 11;
     c.cluster_view.apply(copy, c.now, c.now, false, kDoubt);
     EXPECT_EQ(starts(), 0U);
     c.cluster_view.confirm("n-1");
@@ -183,39 +183,41 @@
 
 // Another node hears whole reports and short ones; some are lost, some come again. Whatever it believes of a
 // machine's tasks at a tick must be what they were at that tick.
-TEST(Mesh, ShortReportsNeverHideAMissedChange) {
+TEST(PeerMesh, ShortReportsNeverHideAMissedChange) {
     holds("lossy stream of whole and short reports", [] {
         const auto history = draw_history("n-1");
         core::ClusterView source;
         core::ClusterView mirror;
         Micros now{1'000'000};
-        std::map<std::pair<std::uint64_t, std::uint64_t>, core::WorkerReport> truth;
+        std::map<std::pair<std::uint64_t, std::uint64_t>, core::WorkerHeartbeat> truth;
         for (const auto& r : history) {
             now += Micros{1'000'000};
-            truth[{r.session, r.tick}] = r;
+            truth[{r.incarnation, r.heartbeat_sequence}] = r;
             source.apply(r, now, now);
             const auto& m = *source.find("n-1");
-            const bool whole = m.content_tick == r.tick;
+            const bool whole = m.content_sequence == r.heartbeat_sequence;
             const int copies = *rc::gen::inRange(0, 3);
             for (int k = 0; k < copies; ++k) {
                 if (whole) {
-                    mirror.apply(m.last, now, now);
+                    mirror.apply(m.last_heartbeat, now, now);
                 } else {
-                    mirror.alive("n-1", r.session, r.tick, r.token, m.content_tick, now, now);
+                    mirror.alive("n-1", r.incarnation, r.heartbeat_sequence, r.fencing_token,
+                                 m.content_sequence, now, now);
                 }
             }
             if (const auto* seen = mirror.find("n-1")) {
-                const auto& then = truth.at({seen->last.session, seen->last.tick});
-                RC_ASSERT(same_tasks(seen->last, then));
+                const auto& then =
+                    truth.at({seen->last_heartbeat.incarnation, seen->last_heartbeat.heartbeat_sequence});
+                RC_ASSERT(same_tasks(seen->last_heartbeat, then));
             }
         }
     });
 }
 
 // Whoever asks later waits longer, however much is asked; and the limit holds.
-TEST(Budget, KeepsItsOrderAndItsRate) {
+TEST(TokenBucket, KeepsItsOrderAndItsRate) {
     holds("arrivals at any times", [] {
-        service::Budget b{10, 5};
+        controller::TokenBucket b{10, 5};
         Micros now{1'000'000};
         std::vector<Micros> turns;
         const int n = *rc::gen::inRange(1, 80);
@@ -243,14 +245,14 @@
         c.teams["x"] = {"x", 8, 400, 0, 0};
         c.teams["y"] = {"y", 8, 400, 0, 0};
         c.objectives = {{"finished", "c", 40, 0.9, 1}};
-        std::map<std::string, core::WorkerReport> reports;
+        std::map<std::string, core::WorkerHeartbeat> reports;
         for (int i = 0; i < 4; ++i) {
             const std::string id = "n-" + std::to_string(100 + i);
             reports[id] = test::report(id, i == 0 ? "big" : "small", i % 2 == 0 ? "a" : "b");
         }
         std::map<std::string, Micros> ends;  // "job/task" -> when it ends
         std::map<std::string, Micros> accepted;
-        core::Stamp stamp = 0;
+        core::Revision mod_revision = 0;
         int next = 0;
         std::map<core::TaskRef, core::Reservation> reservations;
         const Micros start = c.now;
@@ -267,29 +269,29 @@
                 j.estimate_s = 10;
                 j.priority = static_cast<core::Priority>(*rc::gen::inRange(0, 3));
                 if (kind == 0) {  // as wide as the largest machine
-                    j.need = {16, 0, 16};
+                    j.resources = {16, 0, 16};
                     j.priority = core::Priority::best_effort;
                 } else if (kind == 1) {
                     j.kind = core::JobKind::gang;
-                    j.need = {4, 0, 4};
+                    j.resources = {4, 0, 4};
                     j.tasks = 3;
                 } else {
-                    j.need = {*rc::gen::element(1.0, 2.0, 4.0), 0, 1};
+                    j.resources = {*rc::gen::element(1.0, 2.0, 4.0), 0, 1};
                     j.tasks = static_cast<std::uint32_t>(*rc::gen::inRange(4, 20));
                 }
                 accepted[j.id] = c.now;
-                c.ledger.put_job(j, ++stamp);
+                c.job_table.put_job(j, ++mod_revision);
             }
             // Ends.
             std::map<std::pair<std::string, std::uint32_t>, core::Chunk> records;
             const auto record = [&](const std::string& job, std::uint32_t chunk) -> core::Chunk& {
-                const auto* e = c.ledger.find(job);
+                const auto* e = c.job_table.find(job);
                 const auto old = e->chunks.find(chunk);
                 return records.try_emplace({job, chunk}, old == e->chunks.end() ? core::Chunk{} : old->second)
                     .first->second;
             };
             for (auto& [id, r] : reports) {
-                std::erase_if(r.tasks, [&](const core::TaskReport& t) {
+                std::erase_if(r.tasks, [&](const core::TaskStatus& t) {
                     const auto end = ends.find(t.job + "/" + std::to_string(t.task));
                     if (end == ends.end() || end->second > c.now) return false;
                     ends.erase(end);
@@ -301,24 +303,25 @@
             }
             const auto commit = [&] {
                 for (auto& [key, chunk] : records) {
-                    chunk.stamp = ++stamp;
-                    c.ledger.put_chunk(key.first, key.second, chunk);
-                    if (c.ledger.find(key.first)->finished()) c.ledger.erase_job(key.first, ++stamp);
+                    chunk.mod_revision = ++mod_revision;
+                    c.job_table.put_chunk(key.first, key.second, chunk);
+                    if (c.job_table.find(key.first)->finished())
+                        c.job_table.erase_job(key.first, ++mod_revision);
                 }
                 records.clear();
             };
             commit();
             for (auto& [id, r] : reports) {
-                ++r.tick;
+                ++r.heartbeat_sequence;
                 c.cluster_view.apply(r, c.now, c.now);
             }
             core::PlacementInput in;
-            in.ledger = &c.ledger;
+            in.job_table = &c.job_table;
             in.cluster_view = &c.cluster_view;
             in.teams = &c.teams;
             in.objectives = &c.objectives;
             in.own_teams = {"x", "y"};
-            in.now = in.wall = c.now;
+            in.now = in.wall_clock_now = c.now;
             in.reservations = reservations;
             in.most_stops = 0;
             core::FreeCapacity capacity = c.free_capacity();
@@ -336,14 +339,14 @@
             commit();
             for (const auto& [id, since] : accepted) {
                 if (c.now - since > bound) {
-                    const auto& j = c.ledger.find(id)->job;
+                    const auto& j = c.job_table.find(id)->job;
                     std::string why;
                     for (const auto& [ref, r] : reservations)
                         why += " hold " + ref.job + "/" + std::to_string(ref.task) + "@" + r.machine;
                     const core::FreeCapacity now_free = c.free_capacity();
                     for (const auto& m : now_free.machines())
                         why += " free " + m.id + "=" + std::to_string(m.free.cpus);
-                    RC_FAIL(id + " has not begun: " + std::to_string(j.need.cpus) + " CPUs x " +
+                    RC_FAIL(id + " has not begun: " + std::to_string(j.resources.cpus) + " CPUs x " +
                             std::to_string(j.tasks) + (j.kind == core::JobKind::gang ? " gang" : "") +
                             " at " + std::to_string(second) + why);
                 }
--- a/tests/fleet_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -26,12 +26,12 @@
 };
 
 struct Worker {
-    core::WorkerReport report;  // as last sent
-    core::Amount free;
+    core::WorkerHeartbeat report;  // as last sent
+    core::Resources free;
     std::map<TaskRef, Run> tasks;
     bool dark = false;
     int heard = 0;  // when it last got an answer
-    std::vector<core::Start> held;
+    std::vector<core::Start> recorded_attempts;
 };
 
 class Fleet {
@@ -57,17 +57,17 @@
             j.spot = false;
             j.spread = true;
         }
-        c.ledger.put_job(j, ++stamp);
+        c.job_table.put_job(j, ++mod_revision);
     }
 
     void step() {
         ++now;
         run_tasks();
         hear();
-        settle();
+        reconcile();
         for (const char* team : {"x", "y", "z"}) place(team);
         for (auto& [id, w] : workers) {
-            if (!w.dark) deliver(w, std::exchange(w.held, {}));
+            if (!w.dark) deliver(w, std::exchange(w.recorded_attempts, {}));
         }
         check();
     }
@@ -81,27 +81,27 @@
     void restart(Worker& w) {
         w.tasks.clear();
         w.free = c.types.at(w.report.type).size;
-        ++w.report.session;
+        ++w.report.incarnation;
         w.heard = now;
     }
 
     std::size_t silent_to_release() const {
         std::vector<core::SilentMachine> all;
         for (const auto& [id, m] : c.cluster_view.machines())
-            all.push_back({id, at(now) - m.changed, !c.ledger.on_machine(id).empty()});
+            all.push_back({id, at(now) - m.changed, !c.job_table.on_machine(id).empty()});
         return core::releasable(all, Micros{1'000'000LL * (2 * kReport + 8)}, 0).size();
     }
     std::uint32_t left() const {
         std::uint32_t n = 0;
-        for (const auto& [id, e] : c.ledger.jobs())
+        for (const auto& [id, e] : c.job_table.jobs())
             n += e.job.kind == core::JobKind::service ? e.unstarted() : e.job.tasks - e.done;
         return n;
     }
 
     test::Cluster c;
     std::map<std::string, Worker> workers;
-    std::vector<core::WorkerReport> copies;  // of reports, that arrive late
-    std::map<std::string, int> started;      // of each zone in this second
+    std::vector<core::WorkerHeartbeat> copies;  // of reports, that arrive late
+    std::map<std::string, int> started;         // of each zone in this second
     int now = 0;
 
   private:
@@ -112,7 +112,7 @@
                 if (r.state != TaskState::running || r.ends > now) continue;
                 r.state = TaskState::exited;
                 r.cause = core::ExitCause::done;
-                w.free += c.ledger.find(ref.job)->job.need;
+                w.free += c.job_table.find(ref.job)->job.resources;
             }
         }
     }
@@ -121,10 +121,10 @@
         for (auto& [id, w] : workers) {
             if (w.dark || (++turn + now) % kReport != 0) continue;
             w.heard = now;
-            ++w.report.tick;
+            ++w.report.heartbeat_sequence;
             w.report.tasks.clear();
             for (const auto& [ref, r] : w.tasks) {
-                core::TaskReport t;
+                core::TaskStatus t;
                 t.job = ref.job;
                 t.task = ref.task;
                 t.attempt = r.attempt;
@@ -137,30 +137,33 @@
         }
     }
     // What an owner does with what it hears, and with leases.
-    void settle() {
+    void reconcile() {
         std::vector<std::pair<std::string, core::Chunk>> changed;
-        for (const auto& [id, e] : c.ledger.jobs()) {
+        for (const auto& [id, e] : c.job_table.jobs()) {
             for (const auto& [index, chunk] : e.chunks) {
                 core::Chunk next = chunk;
                 for (const auto& [task, a] : chunk.open) {
                     const auto v = core::view_attempt(c.cluster_view, id, task, a);
                     const bool over =
                         at(now) - c.cluster_view.find(a.machine)->heard > at(kLease + 1) - at(0);
-                    if (v.fate == core::Fate::unlisted && !over) {
-                        workers.at(a.machine).held.push_back({id, task, a});  // the same start again
-                    } else if (v.fate == core::Fate::exited || v.fate == core::Fate::gone || over) {
+                    if (v.status == core::AttemptStatus::unlisted && !over) {
+                        workers.at(a.machine).recorded_attempts.push_back(
+                            {id, task, a});  // the same start again
+                    } else if (v.status == core::AttemptStatus::exited ||
+                               v.status == core::AttemptStatus::gone || over) {
                         next.open.erase(task);
-                        if (v.fate == core::Fate::exited && v.cause == core::ExitCause::done)
+                        if (v.status == core::AttemptStatus::exited && v.cause == core::ExitCause::done)
                             next.done.insert(task);
-                        if (v.fate == core::Fate::exited) workers.at(a.machine).tasks.erase({id, task});
+                        if (v.status == core::AttemptStatus::exited)
+                            workers.at(a.machine).tasks.erase({id, task});
                     }
                 }
                 if (next.open.size() == chunk.open.size()) continue;
-                next.stamp = ++stamp;
+                next.mod_revision = ++mod_revision;
                 changed.emplace_back(id, std::move(next));
             }
         }
-        for (auto& [id, chunk] : changed) c.ledger.put_chunk(id, 0, std::move(chunk));
+        for (auto& [id, chunk] : changed) c.job_table.put_chunk(id, 0, std::move(chunk));
     }
     void place(const std::string& team) {
         core::Availability a;
@@ -168,42 +171,42 @@
         a.silent_after = Micros{1'000'000LL * (kReport + 2)};
         auto capacity = c.free_capacity(&a);
         core::PlacementInput in;
-        in.ledger = &c.ledger;
+        in.job_table = &c.job_table;
         in.cluster_view = &c.cluster_view;
         in.teams = &c.teams;
         in.objectives = &c.objectives;
         in.own_teams = {team};
-        in.now = in.wall = at(now);
+        in.now = in.wall_clock_now = at(now);
         in.most_starts = 1'000;
         in.most_records = 1'000;
         const auto out = core::place(in, capacity);
         std::map<std::string, core::Chunk> chunks;
         for (const auto& s : out.starts) {
-            const auto& e = *c.ledger.find(s.job);
+            const auto& e = *c.job_table.find(s.job);
             const auto [it, fresh] = chunks.try_emplace(s.job);
             if (const auto old = e.chunks.find(0); fresh && old != e.chunks.end()) it->second = old->second;
             it->second.open[s.task] = s.attempt;
             it->second.last_attempt = std::max(it->second.last_attempt, s.attempt.number);
-            workers.at(s.attempt.machine).held.push_back(s);
+            workers.at(s.attempt.machine).recorded_attempts.push_back(s);
             ++started[workers.at(s.attempt.machine).report.zone];
         }
         for (auto& [id, chunk] : chunks) {
-            chunk.stamp = ++stamp;
-            c.ledger.put_chunk(id, 0, std::move(chunk));
+            chunk.mod_revision = ++mod_revision;
+            c.job_table.put_chunk(id, 0, std::move(chunk));
         }
     }
     void deliver(Worker& w, std::vector<core::Start> starts) {
         for (const auto& s : starts) {
             const TaskRef ref{s.job, s.task};
-            if (s.attempt.session != w.report.session || w.tasks.contains(ref)) continue;
+            if (s.attempt.incarnation != w.report.incarnation || w.tasks.contains(ref)) continue;
             Run r;
             r.attempt = s.attempt.number;
-            const auto& j = c.ledger.find(s.job)->job;
-            if (!j.need.fits_in(w.free)) {
+            const auto& j = c.job_table.find(s.job)->job;
+            if (!j.resources.fits_in(w.free)) {
                 r.state = TaskState::exited;
                 r.cause = core::ExitCause::no_room;
             } else {
-                w.free -= j.need;
+                w.free -= j.resources;
                 r.ends =
                     j.kind == core::JobKind::service ? 1'000'000 : now + 5 + static_cast<int>(s.task % 9);
             }
@@ -213,19 +216,19 @@
     // The rules, by what truly runs.
     void check() {
         std::map<TaskRef, std::string> where;
-        std::map<std::string, core::Amount> use;
+        std::map<std::string, core::Resources> use;
         for (const auto& [id, w] : workers) {
             for (const auto& [ref, r] : w.tasks) {
                 if (r.state == TaskState::exited) continue;
-                const auto& j = c.ledger.find(ref.job)->job;
+                const auto& j = c.job_table.find(ref.job)->job;
                 ASSERT_TRUE(where.emplace(ref, id).second) << ref.job << "/" << ref.task << " runs twice";
                 ASSERT_TRUE(j.spot || !w.report.spot);
-                use[j.team] += j.need;
+                use[j.team] += j.resources;
             }
         }
         for (const auto& [name, u] : use) ASSERT_LE(u.cpus, c.teams.at(name).cpus_max + 1e-6);
     }
-    core::Stamp stamp = 0;
+    core::Revision mod_revision = 0;
 };
 
 TEST(FleetSize, ADarkZoneAndHundredsOfRestartsBreakNoRuleAndLoseNothing) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,8 +1,7 @@
 // Whole controllers against stand-ins of state service, cloud and workers, in one loop on loopback.
-#include "service/service.hpp"
-
 #include <random>
 
+#include "controller/controller.hpp"
 #include "site.hpp"
 #include "support.hpp"
 
@@ -15,7 +14,7 @@
 
 using test::Site;
 
-TEST(Service, RunsArraysAndServicesAndGangsAndKeepsFinalAnswers) {
+TEST(Controller, RunsArraysAndServicesAndGangsAndKeepsFinalAnswers) {
     Site site{2};
     site.world.endless = {"req-2"};
     site.play([](Site& s) -> Task<void> {
@@ -84,7 +83,7 @@
     });
 }
 
-TEST(Service, RefusesBadInputWithTheProperStatus) {
+TEST(Controller, RefusesBadInputWithTheProperStatus) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         {
@@ -127,14 +126,14 @@
 
 // The record came back into the copy of the node that had cancelled the job, after the job's end had been
 // recorded: a user was told of it again, and each group commit of that node that named it failed, for good.
-TEST(Service, TheLateAnswerToACancelBringsNoJobBack) {
+TEST(Controller, TheLateAnswerToACancelBringsNoJobBack) {
     Site site{1};
     site.world.endless = {"req-1"};
     site.state.answer_after = [](const Json& t) {
-        const bool cancels = std::any_of(t["writes"].begin(), t["writes"].end(), [](const Json& w) {
+        const bool cancellations = std::any_of(t["writes"].begin(), t["writes"].end(), [](const Json& w) {
             return w.contains("write") && w["write"] == "h/job/req-1" && w["v"].contains("cancelled");
         });
-        return Micros{cancels ? 1'500'000 : 0};
+        return Micros{cancellations ? 1'500'000 : 0};
     };
     site.play([](Site& s) -> Task<void> {
         {
@@ -160,7 +159,7 @@
 }
 
 // Whatever made the copy wrong: a conflict that the copy cannot explain has the store read anew.
-TEST(Service, ACopyThatTheStoreRefutesIsReadAnew) {
+TEST(Controller, ACopyThatTheStoreRefutesIsReadAnew) {
     Site site{1};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -186,7 +185,7 @@
     });
 }
 
-TEST(Service, AnotherNodeTakesOverWhenTheLeaderIsKilled) {
+TEST(Controller, AnotherNodeTakesOverWhenTheLeaderIsKilled) {
     Site site{3};
     site.world.run_time = Micros{1'500'000};
     site.play([](Site& s) -> Task<void> {
@@ -229,7 +228,7 @@
     });
 }
 
-TEST(Service, AWholeRestartLosesNothingThatWasAccepted) {
+TEST(Controller, AWholeRestartLosesNothingThatWasAccepted) {
     Site site{2};
     site.world.endless = {"req-2"};
     site.play([](Site& s) -> Task<void> {
@@ -267,7 +266,7 @@
     });
 }
 
-TEST(Service, TasksOfASilentMachineRunElsewhereOnlyAfterItsLease) {
+TEST(Controller, TasksOfASilentMachineRunElsewhereOnlyAfterItsLease) {
     Site site{2};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -294,7 +293,7 @@
 
 // A machine that never comes back, and that nobody releases since too many are silent: its last report says
 // that the task runs, and its lease alone shows that it does not.
-TEST(Service, TasksOfAMachineThatStaysSilentRunElsewhereAfterItsLease) {
+TEST(Controller, TasksOfAMachineThatStaysSilentRunElsewhereAfterItsLease) {
     Site site{2};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -319,7 +318,7 @@
     });
 }
 
-TEST(Service, AnOutageOfTheStoreStopsNothingThatRuns) {
+TEST(Controller, AnOutageOfTheStoreStopsNothingThatRuns) {
     Site site{2};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -350,7 +349,7 @@
 
 // After a cut a link may take every byte and deliver none. A peer that takes all and never says that it
 // hears us must be dialled anew.
-TEST(Service, AMeshLinkThatNobodyConfirmsIsMadeAnew) {
+TEST(Controller, AMeshLinkThatNobodyConfirmsIsMadeAnew) {
     Site site{2};
     site.kill(1);
     site.play([](Site& s) -> Task<void> {
@@ -364,7 +363,7 @@
     });
 }
 
-TEST(Service, ACommitWithoutAnAnswerIsSettledByRepeatingIt) {
+TEST(Controller, ACommitWithoutAnAnswerIsSettledByRepeatingIt) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         {
@@ -389,7 +388,7 @@
 
 // A machine whose reports arrive, but that hears nothing: its lease ends on its own side, its session rises,
 // its reports go on. Its tasks run elsewhere, it gets nothing new, and it is given back.
-TEST(Service, AOneWayMachineLosesItsTasksGetsNoneAndIsGivenBack) {
+TEST(Controller, AOneWayMachineLosesItsTasksGetsNoneAndIsGivenBack) {
     Site site{2};
     site.kill(0);
     site.kill(1);
@@ -403,13 +402,13 @@
             co_await std::move(step);
         }
         const std::string machine = s.world.running["req-1/0"];
-        const auto session = s.cloud.workers.at(machine)->session();
+        const auto incarnation = s.cloud.workers.at(machine)->incarnation();
         s.cloud.workers.at(machine)->deaf = true;
         {
             // Either its session has risen, or it was released before that.
             const std::function<bool()> reached = [&] {
                 const auto it = s.cloud.workers.find(machine);
-                return it == s.cloud.workers.end() || it->second->session() > session;
+                return it == s.cloud.workers.end() || it->second->incarnation() > incarnation;
             };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
@@ -431,7 +430,7 @@
 }
 
 // Dozens of dead machines took all the turns of asking, and live ones behind them stayed unused for good.
-TEST(Service, ALiveMachineIsConfirmedBesideManyDeadOnes) {
+TEST(Controller, ALiveMachineIsConfirmedBesideManyDeadOnes) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         // They report once, with an address at which nobody answers.
@@ -458,7 +457,7 @@
             auto step = s.insist("POST", "/hello", report, {200});
             co_await std::move(step);
         }
-        // By then no report shows by its token alone that it is new.
+        // By then no report shows by its fencing token alone that it is new.
         co_await s.loop.sleep(Micros{7'000'000});
         {
             auto step = s.submit("req-1", "x", "sweep", 2);
@@ -474,7 +473,7 @@
 }
 
 // Workers stay where they are answered: after a restart one node bore the whole fleet's reports for good.
-TEST(Service, ReportsSpreadOverTheNodes) {
+TEST(Controller, ReportsSpreadOverTheNodes) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
         std::vector<std::unique_ptr<test::WorkerStandIn>> workers;
@@ -492,7 +491,7 @@
 }
 
 // Copies of reports reach a node that has just started, and one that leads anew.
-TEST(Service, LateCopiesOfReportsBringBackNothing) {
+TEST(Controller, LateCopiesOfReportsBringBackNothing) {
     Site site{2};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -506,9 +505,9 @@
         Json dead = early;
         dead["perch"] = "n-000000";
         dead["address"] = "127.0.0.1:1";
-        Json claims = early;
-        claims["tick"] = 0;
-        claims["legs"] =
+        Json ranking = early;
+        ranking["tick"] = 0;
+        ranking["legs"] =
             Json::array({Json{{"leg", "req-1/0"}, {"try", 1}, {"status", "exited"}, {"cause", "done"}}});
         s.kill(0);
         s.kill(1);
@@ -521,7 +520,7 @@
         for (int round = 0; round < 20; ++round) {
             for (const std::size_t node : {0U, 1U}) {
                 dead["tick"] = 1000 + round;
-                for (const Json& copy : {dead, claims, early}) {
+                for (const Json& copy : {dead, ranking, early}) {
                     auto call = s.call(node, "POST", "/hello", copy);
                     co_await std::move(call);
                 }
@@ -546,7 +545,7 @@
 
 // A start that got no answer, was repeated and carried out, may arrive once more: after a reap it would start
 // the task again.
-TEST(Service, ACopyOfAStartThatArrivesAfterTheEndStartsNothing) {
+TEST(Controller, ACopyOfAStartThatArrivesAfterTheEndStartsNothing) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         {
@@ -562,13 +561,13 @@
             auto step = s.submit("req-2", "x", "sweep", 2);
             co_await std::move(step);
         }
-        const auto held = [&s] {
+        const auto recorded_attempts = [&s] {
             std::size_t n = 0;
-            for (const auto& [id, w] : s.cloud.workers) n += w->held.size();
+            for (const auto& [id, w] : s.cloud.workers) n += w->recorded_attempts.size();
             return n;
         };
         {
-            const std::function<bool()> reached = [&] { return held() > 0; };
+            const std::function<bool()> reached = [&] { return recorded_attempts() > 0; };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
@@ -580,10 +579,10 @@
         }
         co_await s.loop.sleep(Micros{2'500'000});  // reaps and sweeps have had their time
         for (auto& [id, w] : s.cloud.workers) {
-            for (const auto& copy : w->held) (void)w->late_orders(copy);
+            for (const auto& copy : w->recorded_attempts) (void)w->late_orders(copy);
         }
         co_await s.loop.sleep(Micros{600'000});
-        EXPECT_GT(held(), 0U);
+        EXPECT_GT(recorded_attempts(), 0U);
         EXPECT_EQ(s.world.completed["req-2/0"], 1);
         EXPECT_EQ(s.world.completed["req-2/1"], 1);
     });
@@ -591,7 +590,7 @@
 
 // The node hears workers only. It falls silent when its node lease ends, its teams get another owner, its
 // workers move on within their leases, and it comes back without help.
-TEST(Service, ANodeWithNothingButItsWorkersFallsSilentAndComesBack) {
+TEST(Controller, ANodeWithNothingButItsWorkersFallsSilentAndComesBack) {
     Site site{3, 0};
     site.world.lease_s = 6;
     site.kill(1);  // the relayed node leads
@@ -616,8 +615,8 @@
             co_await std::move(waiting);
         }
         const auto homes = s.world.running;
-        std::map<std::string, std::uint64_t> sessions;
-        for (const auto& [id, w] : s.cloud.workers) sessions[id] = w->session();
+        std::map<std::string, std::uint64_t> incarnations;
+        for (const auto& [id, w] : s.cloud.workers) incarnations[id] = w->incarnation();
         s.cut_off(true);
         {
             const std::function<bool()> reached = [&] { return s.leader() != "n0"; };
@@ -635,7 +634,7 @@
         auto probe = s.call(0, "GET", "/healthz", nullptr);
         const auto health = co_await std::move(probe);
         EXPECT_EQ(health.first, 503);
-        for (const auto& [id, n] : sessions) EXPECT_EQ(s.cloud.workers.at(id)->session(), n) << id;
+        for (const auto& [id, n] : incarnations) EXPECT_EQ(s.cloud.workers.at(id)->incarnation(), n) << id;
         {
             auto step = s.submit("req-4", "x", "sweep", 2);
             co_await std::move(step);
@@ -658,7 +657,7 @@
 }
 
 // Nodes end and are back at once, one, some or all of them, also while an epoch is being written.
-TEST(Service, NodesThatAreBackAtOnceLoseNothingAndForgetNothing) {
+TEST(Controller, NodesThatAreBackAtOnceLoseNothingAndForgetNothing) {
     Site site{3};
     site.world.endless = {"req-1"};
     site.world.run_time = Micros{700'000};
@@ -696,7 +695,7 @@
 
 // The first life's write of its own key comes again, late: with it the key would belong to a grant that
 // nobody renews, and vanish under a node that acts.
-TEST(Service, ALateWriteOfAnEarlierLifesKeyChangesNothing) {
+TEST(Controller, ALateWriteOfAnEarlierLifesKeyChangesNothing) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         std::vector<Json> puts;
@@ -721,17 +720,17 @@
             co_await std::move(waiting);
         }
         co_await s.loop.sleep(Micros{50'000});
-        const auto grant = s.state.items.at("h/node/n0").value["grant"];
+        const auto store_lease = s.state.items.at("h/node/n0").value["grant"];
         s.state.on_commit = nullptr;
         EXPECT_EQ(s.state.late_commit(puts.front()), 409);
-        EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], grant);
+        EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], store_lease);
         co_await s.loop.sleep(Micros{2'000'000});  // the first life's grant is long over
-        EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], grant);
+        EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], store_lease);
     });
 }
 
 // Thousands of jobs, and a watch that is too old: every node reads the store whole again, and answers.
-TEST(Service, EveryJobIsKnownOnEveryNodeAfterAReloadOfALargeStore) {
+TEST(Controller, EveryJobIsKnownOnEveryNodeAfterAReloadOfALargeStore) {
     Site site{2};
     site.play([](Site& s) -> Task<void> {
         {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,15 +1,15 @@
-#include "service/settings.hpp"
+#include "config/settings.hpp"
 
 #include <nlohmann/json.hpp>
 
-#include "service/budget.hpp"
+#include "store/token_bucket.hpp"
 #include "support.hpp"
 
 namespace hatchwind {
 namespace {
 
+using controller::SettingsError;
 using nlohmann::json;
-using service::SettingsError;
 
 json settings() {
     return {{"label", "n0"},
@@ -38,7 +38,7 @@
 
 std::string failure(const json& v) {
     try {
-        (void)service::parse_settings(v.dump());
+        (void)controller::parse_settings(v.dump());
     } catch (const SettingsError& e) {
         return e.what();
     }
@@ -46,7 +46,7 @@
 }
 
 TEST(Settings, ReadsAndIgnoresWhatItDoesNotKnow) {
-    const auto s = service::parse_settings(settings().dump());
+    const auto s = controller::parse_settings(settings().dump());
     EXPECT_EQ(s.label, "n0");
     EXPECT_EQ(s.peers.size(), 1U);
     EXPECT_EQ(s.teams.at("t").cpus_max, 8.0);
@@ -57,17 +57,17 @@
     json v = settings();
     v["deployment"]["state"]["next"] = {
         {"rps", 500.0}, {"write_rps", 20.0}, {"value_kb", 2.0}, {"txn_ops", 3}, {"more", 1}};
-    const auto lowered = service::parse_settings(v.dump());
+    const auto lowered = controller::parse_settings(v.dump());
     EXPECT_EQ(lowered.state_rps, 100.0);
     EXPECT_EQ(lowered.state_write_rps, 20.0);
     EXPECT_EQ(lowered.value_limit(), 2048U);
     EXPECT_EQ(lowered.txn_ops, 3U);
     v["deployment"]["state"]["next"] = {{"write_rps", 80.0}};
-    const auto raised = service::parse_settings(v.dump());
+    const auto raised = controller::parse_settings(v.dump());
     EXPECT_EQ(raised.state_write_rps, 50.0);
     EXPECT_EQ(raised.txn_ops, 12U);
     v["deployment"]["state"]["next"] = nullptr;
-    EXPECT_EQ(service::parse_settings(v.dump()).txn_ops, 12U);
+    EXPECT_EQ(controller::parse_settings(v.dump()).txn_ops, 12U);
     v["deployment"]["state"]["next"] = {{"txn_ops", 1}};
     EXPECT_NE(failure(v).find("deployment.state.next.txn_ops: found 1"), std::string::npos);
 }
@@ -85,14 +85,14 @@
     v = settings();
     v["api_addr"] = "localhost:80";
     EXPECT_NE(failure(v).find("api_addr"), std::string::npos);
-    EXPECT_THROW((void)service::parse_settings("{"), SettingsError);
-    EXPECT_THROW((void)service::parse_settings("[]"), SettingsError);
+    EXPECT_THROW((void)controller::parse_settings("{"), SettingsError);
+    EXPECT_THROW((void)controller::parse_settings("[]"), SettingsError);
 }
 
 // Submissions once waited behind the node's own group commits for a share of the store's limit.
-TEST(Budget, UsersGoAheadOfTheNodesOwnWritesWithinLimits) {
+TEST(TokenBucket, UsersGoAheadOfTheNodesOwnWritesWithinLimits) {
     using core::Micros;
-    service::Budget b{10, 10};
+    controller::TokenBucket b{10, 10};
     const Micros now{1'000'000};
     b.spend(10, now);
     EXPECT_GT(b.wait(1, now), Micros{0});
@@ -103,7 +103,7 @@
 }
 
 TEST(Properties, FollowTheJavaRules) {
-    const auto p = service::parse_properties(
+    const auto p = controller::parse_properties(
         "# comment\n! comment too\n\nplain=1\nspaced = two words \ncolon: 3\nblank 4\nlong = a\\\n   "
         "b\nesc\\=aped = x\\ty\nempty=\n");
     EXPECT_EQ(p.at("plain"), "1");
@@ -113,7 +113,7 @@
     EXPECT_EQ(p.at("long"), "ab");
     EXPECT_EQ(p.at("esc=aped"), "x\ty");
     EXPECT_EQ(p.at("empty"), "");
-    EXPECT_THROW((void)service::parse_properties("a=1\na=2\n"), SettingsError);
+    EXPECT_THROW((void)controller::parse_properties("a=1\na=2\n"), SettingsError);
 }
 
 TEST(Properties, GeneratedPairsComeBack) {
@@ -123,23 +123,23 @@
         std::string text;
         for (const auto& [k, v] : pairs)
             text += k + *rc::gen::element<std::string>("=", " = ", ": ", " ") + v + "\n";
-        RC_ASSERT(service::parse_properties(text) == pairs);
+        RC_ASSERT(controller::parse_properties(text) == pairs);
     });
     test::holds("any text ends in values or in one error", [](const std::string& text) {
         try {
-            (void)service::parse_properties(text);
+            (void)controller::parse_properties(text);
         } catch (const SettingsError&) {
         }
     });
 }
 
 TEST(Properties, UnknownAndOutOfRangeKeysAreErrors) {
-    const auto s = service::parse_settings(settings().dump());
-    EXPECT_THROW((void)service::tune({{"drain.speed", "1"}}, s), SettingsError);
-    EXPECT_THROW((void)service::tune({{"drain.busy_cap", "-1"}}, s), SettingsError);
-    EXPECT_THROW((void)service::tune({{"drain.busy_cap", "x"}}, s), SettingsError);
-    EXPECT_THROW((void)service::tune({{"drain.busy_cap", ""}}, s), SettingsError);
-    EXPECT_EQ(service::tune({{"drain.busy_cap", "5"}}, s).drain.busy_cap, 5U);
+    const auto s = controller::parse_settings(settings().dump());
+    EXPECT_THROW((void)controller::tune({{"drain.speed", "1"}}, s), SettingsError);
+    EXPECT_THROW((void)controller::tune({{"drain.busy_cap", "-1"}}, s), SettingsError);
+    EXPECT_THROW((void)controller::tune({{"drain.busy_cap", "x"}}, s), SettingsError);
+    EXPECT_THROW((void)controller::tune({{"drain.busy_cap", ""}}, s), SettingsError);
+    EXPECT_EQ(controller::tune({{"drain.busy_cap", "5"}}, s).drain.busy_cap, 5U);
 }
 
 }  // namespace
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "service/service.hpp"
+#include "controller/controller.hpp"
 #include "stand_ins.hpp"
 
 namespace hatchwind::test {
@@ -27,27 +27,27 @@
         for (int i = 0; i < nodes; ++i) {
             labels_.push_back("n" + std::to_string(i));
             addresses_.push_back(local(free_port()));
-            mesh_.push_back(local(free_port()));
+            peer_mesh_.push_back(local(free_port()));
         }
         if (relayed >= 0) {
             relayed_ = static_cast<std::size_t>(relayed);
             state_relay_ = std::make_unique<Relay>(loop, state.address);
             for (int i = 0; i < nodes; ++i)
-                relays_.push_back(std::make_unique<Relay>(loop, mesh_[static_cast<std::size_t>(i)]));
+                relays_.push_back(std::make_unique<Relay>(loop, peer_mesh_[static_cast<std::size_t>(i)]));
         }
         services_.resize(static_cast<std::size_t>(nodes));
         for (int i = 0; i < nodes; ++i) start(static_cast<std::size_t>(i));
     }
     void start(std::size_t i) {
-        service::Settings s;
+        controller::Settings s;
         s.label = labels_[i];
         s.zone = "a";
         s.api = addresses_[i];
-        s.mesh = mesh_[i];
+        s.mesh = peer_mesh_[i];
         for (std::size_t k = 0; k < labels_.size(); ++k) {
             if (k != i)
                 s.peers.push_back(
-                    {labels_[k], "a", i == relayed_ || k == relayed_ ? relays_[k]->address : mesh_[k]});
+                    {labels_[k], "a", i == relayed_ || k == relayed_ ? relays_[k]->address : peer_mesh_[k]});
         }
         s.cloud = cloud.address;
         s.state = i == relayed_ ? state_relay_->address : state.address;
@@ -65,12 +65,12 @@
         s.max_connections = 1000;
         s.skew_ms = 5;
         if (adjust) adjust(s);
-        service::Tunables t = service::tune({}, s);
-        t.grant_life = Micros{1'200'000};
-        t.renew_every = Micros{250'000};
-        t.promise_life = Micros{700'000};
+        controller::Tunables t = controller::tune({}, s);
+        t.store_lease_ttl = Micros{1'200'000};
+        t.store_lease_renewal_interval = Micros{250'000};
+        t.lease_extension_ttl = Micros{700'000};
         t.silent_release = silent_release;
-        services_[i] = std::make_unique<service::Service>(loop, s, t);
+        services_[i] = std::make_unique<controller::Controller>(loop, s, t);
         services_[i]->start();
     }
     void kill(std::size_t i) { services_[i].reset(); }
@@ -85,7 +85,7 @@
     }
     const std::vector<std::string>& labels() const { return labels_; }
     bool up(std::size_t i) const { return services_[i] != nullptr; }
-    io::Address mesh_address(std::size_t i) const { return mesh_[i]; }
+    io::Address mesh_address(std::size_t i) const { return peer_mesh_[i]; }
 
     Task<std::pair<int, Json>> call(std::size_t node, std::string method, std::string target, Json body) {
         auto task =
@@ -177,7 +177,7 @@
         cloud.workers.clear();
     }
 
-    std::function<void(service::Settings&)> adjust;  // the settings of nodes that start from now on
+    std::function<void(controller::Settings&)> adjust;  // the settings of nodes that start from now on
     double cancel_s = 10;
     Micros silent_release{60'000'000};  // leases, not releases, end what is silent here
     io::Loop loop;
@@ -189,11 +189,11 @@
   private:
     std::vector<std::string> labels_;
     std::vector<io::Address> addresses_;
-    std::vector<io::Address> mesh_;
+    std::vector<io::Address> peer_mesh_;
     std::size_t relayed_ = SIZE_MAX;
     std::unique_ptr<Relay> state_relay_;
     std::vector<std::unique_ptr<Relay>> relays_;
-    std::vector<std::unique_ptr<service::Service>> services_;
+    std::vector<std::unique_ptr<controller::Controller>> services_;
 };
 
 }  // namespace hatchwind::test
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -110,8 +110,8 @@
     bool drop_next_commit_answer = false;  // carried out, but the answer is a 500
     struct Item {
         Json value;
-        std::uint64_t stamp = 0;
-        std::uint64_t grant = 0;
+        std::uint64_t mod_revision = 0;
+        std::uint64_t store_lease = 0;
     };
     std::map<std::string, Item> items;
     std::uint64_t revision = 0;
@@ -128,7 +128,7 @@
         hold,         // not carried out, a 500, and kept in `held`
     };
     std::function<Treatment(const Json&)> treat;  // of transactions
-    std::vector<Json> held;                       // late_commit() carries them out
+    std::vector<Json> recorded_attempts;          // late_commit() carries them out
     io::Micros read_latency{0};                   // of single keys
     io::Micros watch_latency{0};                  // the answer is as old as that when it arrives
     io::Micros list_latency{0};                   // likewise a page of keys
@@ -166,9 +166,9 @@
             }
         }
     }
-    void drop(std::uint64_t grant) {
+    void drop(std::uint64_t store_lease) {
         for (auto i = items.begin(); i != items.end();) {
-            if (i->second.grant != grant) {
+            if (i->second.store_lease != store_lease) {
                 ++i;
                 continue;
             }
@@ -207,7 +207,7 @@
                 if (!k.starts_with(query(q.target, "starts")) || k <= query(q.target, "after")) continue;
                 more = pairs.size() == page;
                 if (more) break;
-                pairs.push_back({{"path", k}, {"v", i.value}, {"stamp", i.stamp}});
+                pairs.push_back({{"path", k}, {"v", i.value}, {"stamp", i.mod_revision}});
             }
             auto out = reply(200, {{"pairs", pairs}, {"hasNext", more}, {"ledger", revision}});
             ++lists;
@@ -218,13 +218,14 @@
             if (read_latency.count() > 0) co_await loop_.sleep(read_latency);
             const auto it = items.find(q.target.substr(7));
             if (it == items.end()) co_return reply(404, {{"ledger", revision}});
-            co_return reply(200, {{"path", it->first}, {"v", it->second.value}, {"stamp", it->second.stamp}});
+            co_return reply(
+                200, {{"path", it->first}, {"v", it->second.value}, {"stamp", it->second.mod_revision}});
         }
         if (q.target == "/commit") {
             const Treatment treatment = treat ? treat(*body) : Treatment::carry_out;
             if (treatment == Treatment::refuse) co_return reply(503, {{"error", "trouble"}});
             if (treatment == Treatment::hold) {
-                held.push_back(*body);
+                recorded_attempts.push_back(*body);
                 co_return reply(500);
             }
             auto out = commit(*body);
@@ -266,7 +267,7 @@
         Json failed = Json::array();
         for (const auto& c : t["when"]) {
             const auto it = items.find(c["path"]);
-            if ((it == items.end() ? 0 : it->second.stamp) != c["stamp"].get<std::uint64_t>())
+            if ((it == items.end() ? 0 : it->second.mod_revision) != c["stamp"].get<std::uint64_t>())
                 failed.push_back(c["path"]);
         }
         most_writes = std::max(most_writes, t["writes"].size());
@@ -338,17 +339,17 @@
     const std::string& id() const { return id_; }
     io::Address address() const { return address_; }
     const std::string& zone() const { return zone_; }
-    std::uint64_t token() const { return token_; }
+    std::uint64_t fencing_token() const { return fencing_token_; }
     std::size_t home() const { return at_ % nodes_.size(); }  // the node that it reports to
     bool hung = false;
     bool deaf = false;         // its reports arrive, but neither answers nor orders reach it
     bool hold_orders = false;  // requests are kept, and get no answer
-    std::vector<Json> held;
+    std::vector<Json> recorded_attempts;
     Json last_report;
-    std::uint64_t session() const { return session_; }
+    std::uint64_t incarnation() const { return session_; }
     // A copy of orders arrives late.
     bool late_orders(const Json& b) {
-        if (b["baton"].get<std::uint64_t>() < token_ || b["stint"] != session_) return false;
+        if (b["baton"].get<std::uint64_t>() < fencing_token_ || b["stint"] != session_) return false;
         execute(b["calls"]);
         return true;
     }
@@ -372,7 +373,7 @@
         return {{"perch", id_},        {"address", text_of(address_)},
                 {"build", "c4"},       {"roost", zone_},
                 {"borrowed", false},   {"stint", session_},
-                {"tick", ++tick_},     {"baton", token_},
+                {"tick", ++tick_},     {"baton", fencing_token_},
                 {"warningS", nullptr}, {"legs", legs}};
     }
     void execute(const Json& calls) {
@@ -384,9 +385,9 @@
                 if (it != tasks_.end() && it->second.attempt == attempt) continue;
                 if (it != tasks_.end() && it->second.state != "exited") continue;
                 if (world_.running.contains(name)) world_.broken_rules.push_back("ran_twice " + name);
-                for (const auto& need : world_.needs[name.substr(0, name.find('/'))]) {
-                    if (world_.completed[need] == 0)
-                        world_.broken_rules.push_back("too_early " + name + " before " + need);
+                for (const auto& resources : world_.needs[name.substr(0, name.find('/'))]) {
+                    if (world_.completed[resources] == 0)
+                        world_.broken_rules.push_back("too_early " + name + " before " + resources);
                 }
                 world_.running[name] = id_;
                 ++world_.started[name];
@@ -405,16 +406,16 @@
     io::Task<io::HttpResponse> handle(io::HttpRequest q) {
         while (hung || deaf) co_await loop_.sleep(io::Micros{20'000});
         if (hold_orders && q.target == "/orders") {
-            held.push_back(*wire::decode(q.body));
+            recorded_attempts.push_back(*wire::decode(q.body));
             while (hold_orders) co_await loop_.sleep(io::Micros{20'000});
             co_await loop_.sleep(io::Micros{3'000'000});  // beyond the caller's patience
         }
         if (q.target == "/status") co_return reply(200, describe());
         const auto b = wire::decode(q.body);
         if (!b || !b->contains("baton") || !b->contains("stint")) co_return reply(400);
-        const auto token = (*b)["baton"].get<std::uint64_t>();
-        if (token < token_ || (*b)["stint"] != session_) co_return reply(409, describe());
-        token_ = token;
+        const auto fencing_token = (*b)["baton"].get<std::uint64_t>();
+        if (fencing_token < fencing_token_ || (*b)["stint"] != session_) co_return reply(409, describe());
+        fencing_token_ = fencing_token;
         execute((*b)["calls"]);
         co_return reply(200, describe());
     }
@@ -435,8 +436,8 @@
             auto r = co_await std::move(task);
             if (deaf) r.status = 0;
             const auto v = r.status == 200 || r.status == 421 ? wire::decode(r.body) : std::nullopt;
-            if (r.status == 200 && v && (*v)["baton"].get<std::uint64_t>() >= token_) {
-                token_ = (*v)["baton"].get<std::uint64_t>();
+            if (r.status == 200 && v && (*v)["baton"].get<std::uint64_t>() >= fencing_token_) {
+                fencing_token_ = (*v)["baton"].get<std::uint64_t>();
                 began_ = sent;
                 execute((*v)["calls"]);
                 continue;
@@ -474,7 +475,7 @@
     io::HttpClient client_;
     io::Scope scope_;
     std::map<std::string, TaskState> tasks_;
-    std::uint64_t session_ = 1, tick_ = 0, token_ = 0;
+    std::uint64_t session_ = 1, tick_ = 0, fencing_token_ = 0;
     std::size_t at_ = 0;
     io::Micros began_;
     io::HttpServer server_;
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -8,9 +8,9 @@
 
 #include "core/cluster_view.hpp"
 #include "core/drain_planner.hpp"
-#include "core/fleet_planner.hpp"
-#include "core/ledger.hpp"
+#include "core/job_table.hpp"
 #include "core/placement.hpp"
+#include "core/scale_out_planner.hpp"
 
 namespace hatchwind::test {
 
@@ -26,7 +26,7 @@
     j.job_class = "c";
     j.team = team;
     j.tasks = tasks;
-    j.need = {cpus, 0, cpus};
+    j.resources = {cpus, 0, cpus};
     j.image = "img";
     j.image_gb = 1;
     j.estimate_s = 30;
@@ -51,17 +51,17 @@
     return c;
 }
 
-inline core::WorkerReport report(const std::string& machine, const std::string& type, const std::string& zone,
-                                 bool spot = false) {
-    core::WorkerReport r;
+inline core::WorkerHeartbeat report(const std::string& machine, const std::string& type,
+                                    const std::string& zone, bool spot = false) {
+    core::WorkerHeartbeat r;
     r.machine = machine;
     r.address = "127.0.0.1:1";
     r.type = type;
     r.zone = zone;
     r.spot = spot;
-    r.session = 1;
-    r.tick = 1;
-    r.token = 1;
+    r.incarnation = 1;
+    r.heartbeat_sequence = 1;
+    r.fencing_token = 1;
     return r;
 }
 
@@ -70,7 +70,7 @@
     core::Catalog types = catalog();
     std::map<std::string, core::Team> teams;
     std::vector<core::Objective> objectives;
-    core::Ledger ledger;
+    core::JobTable job_table;
     core::ClusterView cluster_view;
     core::Micros now{100'000'000};
 
@@ -78,7 +78,7 @@
         core::Availability plain;
         plain.now = now;
         plain.silent_after = core::Micros{10'000'000};
-        return core::FreeCapacity::build(cluster_view, ledger, types, a == nullptr ? plain : *a);
+        return core::FreeCapacity::build(cluster_view, job_table, types, a == nullptr ? plain : *a);
     }
 };
 
@@ -87,8 +87,8 @@
     c.teams["x"] = {"x", 8, 24, 0, 0};
     c.teams["y"] = {"y", 16, 40, 0, 0};
     const int machines = *rc::gen::inRange(1, 9);
-    std::map<std::string, core::WorkerReport> reports;
-    std::map<std::string, core::Amount> free;
+    std::map<std::string, core::WorkerHeartbeat> reports;
+    std::map<std::string, core::Resources> free;
     for (int i = 0; i < machines; ++i) {
         const std::string id = "n-" + std::to_string(100 + i);
         const bool big = *rc::gen::inRange(0, 3) == 0;
@@ -97,7 +97,7 @@
         free[id] = c.types.at(reports[id].type).size;
     }
     const int jobs = *rc::gen::inRange(0, 8);
-    core::Stamp stamp = 0;
+    core::Revision mod_revision = 0;
     for (int k = 0; k < jobs; ++k) {
         auto j = job("req-" + std::to_string(k), *rc::gen::inRange(0, 2) == 0 ? "x" : "y",
                      static_cast<std::uint32_t>(*rc::gen::inRange(1, 7)), *rc::gen::element(1.0, 2.0, 4.0));
@@ -106,22 +106,22 @@
         j.spread = *rc::gen::inRange(0, 3) == 0;
         j.one_zone = !j.spread && *rc::gen::inRange(0, 4) == 0;
         j.spot = *rc::gen::inRange(0, 2) == 0;
-        c.ledger.put_job(j, ++stamp);
+        c.job_table.put_job(j, ++mod_revision);
         core::Chunk chunk;
         core::ZoneUse zones;
         for (std::uint32_t t = 0; t < j.tasks; ++t) {
             if (*rc::gen::inRange(0, 2) == 0) continue;
             for (auto& [id, r] : reports) {
                 const bool allowed =
-                    (j.spot || !r.spot) && zones.allows(j, r.zone) && j.need.fits_in(free[id]);
-                core::Amount use = c.ledger.team_use(j.team);
-                use += j.need * static_cast<double>(chunk.open.size() + 1);
+                    (j.spot || !r.spot) && zones.allows(j, r.zone) && j.resources.fits_in(free[id]);
+                core::Resources use = c.job_table.team_use(j.team);
+                use += j.resources * static_cast<double>(chunk.open.size() + 1);
                 if (!allowed || use.cpus > c.teams[j.team].cpus_max) continue;
-                free[id] -= j.need;
+                free[id] -= j.resources;
                 zones.add(r.zone);
                 chunk.open[t] = {1, id, 1};
                 chunk.last_attempt = 1;
-                core::TaskReport tr;
+                core::TaskStatus tr;
                 tr.job = j.id;
                 tr.task = t;
                 tr.attempt = 1;
@@ -130,8 +130,8 @@
                 break;
             }
         }
-        chunk.stamp = ++stamp;
-        if (!chunk.open.empty()) c.ledger.put_chunk(j.id, 0, chunk);
+        chunk.mod_revision = ++mod_revision;
+        if (!chunk.open.empty()) c.job_table.put_chunk(j.id, 0, chunk);
     }
     for (const auto& [id, r] : reports) c.cluster_view.apply(r, c.now, c.now);
     return c;
--- a/tests/user_answers_test.cpp
+++ b/tests/user_answers_test.cpp
@@ -414,8 +414,8 @@
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        EXPECT_EQ(s.state.held.size(), 1U);
-        EXPECT_EQ(s.state.late_commit(s.state.held.front()), 409);
+        EXPECT_EQ(s.state.recorded_attempts.size(), 1U);
+        EXPECT_EQ(s.state.late_commit(s.state.recorded_attempts.front()), 409);
         co_await s.loop.sleep(Micros{1'500'000});
         const auto records = broken_records(s);
         EXPECT_TRUE(records.empty()) << records.front();
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -8,10 +8,10 @@
 
 #include <algorithm>
 
-#include "service/attempt_page_split.hpp"
+#include "scheduling/attempt_page_split.hpp"
 #include "site.hpp"
 #include "support.hpp"
-#include "wire/mesh_codec.hpp"
+#include "wire/peer_protocol.hpp"
 
 namespace hatchwind {
 namespace {
@@ -20,7 +20,7 @@
 using io::Task;
 using test::Site;
 using wire::Json;
-using wire::MeshMessage;
+using wire::PeerMessage;
 
 std::string from_hex(std::string_view hex) {
     std::string out;
@@ -30,20 +30,20 @@
 }
 
 struct RecordedFrame {
-    MeshMessage message;
+    PeerMessage message;
     const char* bytes;  // of production
 };
 
 std::vector<RecordedFrame> recorded_frames() {
-    const wire::CancelNotice notice{"req-000412", 430, 1699999999000000};
-    wire::MeshHeartbeat heartbeat;
+    const wire::CancellationNotice notice{"req-000412", 430, 1699999999000000};
+    wire::PeerHeartbeat heartbeat;
     heartbeat.label = "n1";
-    heartbeat.grant = 7;
+    heartbeat.store_lease = 7;
     heartbeat.wall_us = 1700000000000000;
     heartbeat.epoch = 12;
     heartbeat.state_ok = true;
-    heartbeat.fit = false;
-    heartbeat.acting = true;
+    heartbeat.healthy = false;
+    heartbeat.holds_leadership = true;
     heartbeat.answered = {{"n-000231", 1700000000000001}};
     heartbeat.released = {"n-000007"};
     heartbeat.candidates = {"n-000009"};
@@ -52,29 +52,29 @@
     heartbeat.workers = 41;
     heartbeat.unanswered = {"n-000011"};
     heartbeat.revision = 431;
-    heartbeat.cancels = {notice};
-    wire::MeshReport report;
-    report.report.machine = "n-000231";
-    report.report.address = "10.1.0.232:9000";
-    report.report.type = "stave";
-    report.report.zone = "osu";
-    report.report.spot = true;
-    report.report.session = 2;
-    report.report.tick = 31;
-    report.report.token = 12;
-    report.report.notice_s = 30.0;
-    core::TaskReport task;
+    heartbeat.cancellations = {notice};
+    wire::WorkerStatusUpdate report;
+    report.heartbeat.machine = "n-000231";
+    report.heartbeat.address = "10.1.0.232:9000";
+    report.heartbeat.type = "stave";
+    report.heartbeat.zone = "osu";
+    report.heartbeat.spot = true;
+    report.heartbeat.incarnation = 2;
+    report.heartbeat.heartbeat_sequence = 31;
+    report.heartbeat.fencing_token = 12;
+    report.heartbeat.notice_s = 30.0;
+    core::TaskStatus task;
     task.job = "req-000412";
     task.task = 70;
     task.attempt = 3;
     task.state = core::TaskState::running;
     task.cause = core::ExitCause::done;
-    report.report.tasks.push_back(task);
+    report.heartbeat.tasks.push_back(task);
     report.heard_us = 1700000000000002;
     report.images = {{"img-07", 6.25}};
     report.confirmed = true;
     return {
-        {wire::MeshHello{wire::kMeshVersion, "n1"}, "050103026e31"},
+        {wire::PeerHandshake{wire::kPeerProtocolVersion, "n1"}, "050103026e31"},
         {heartbeat,
          "5b02026e31078080f281838985060c01000101086e2d3030303233310101086e2d30303030303701086e2d3030303030390"
          "20"
@@ -82,17 +82,17 @@
         {report,
          "5d03086e2d3030303233310f31302e312e302e3233323a39303030057374617665036f737501021f0c018080808080808"
          "09f408480f28183898506010a7265712d30303034313246030201000106696d672d3037808080808080c08c4001"},
-        {wire::MeshAsk{9, 1500000, 431}, "070409e0c65baf03"},
-        {wire::MeshPromise{9, true, {notice}}, "19050901010a7265712d303030343132ae0380f7f78083898506"},
-        {wire::MeshHold{"n-000231", "req-000412", 70, 2, 0, 2.9, 4000000, true},
+        {wire::LeaseExtensionRequest{9, 1500000, 431}, "070409e0c65baf03"},
+        {wire::LeaseExtensionVote{9, true, {notice}}, "19050901010a7265712d303030343132ae0380f7f78083898506"},
+        {wire::CapacityReservationNotice{"n-000231", "req-000412", 70, 2, 0, 2.9, 4000000, true},
          "2e06086e2d3030303233310a7265712d3030303431324680808080808080804000b3e6cc99b3e6cc83408092f40101"},
-        {wire::MeshAlive{"n-000231", 2, 32, 12, 30, 1700000000000003},
+        {wire::WorkerKeepAlive{"n-000231", 2, 32, 12, 30, 1700000000000003},
          "1607086e2d30303032333102200c1e8680f28183898506"},
-        {wire::MeshCancel{{notice}}, "1708010a7265712d303030343132ae0380f7f78083898506"},
+        {wire::CancellationBroadcast{{notice}}, "1708010a7265712d303030343132ae0380f7f78083898506"},
     };
 }
 
-std::optional<MeshMessage> read_frame(const std::string& frame) {
+std::optional<PeerMessage> read_frame(const std::string& frame) {
     wire::FrameReader reader;
     reader.add(frame);
     return reader.next();
@@ -120,8 +120,8 @@
     // Production ends the connection at a hello of another version and at kinds above 8. A kind added here
     // may go only to nodes that have announced that they know it.
     constexpr std::size_t kProductionKinds = 8;
-    EXPECT_EQ(wire::kMeshVersion, 3U);
-    EXPECT_EQ(std::variant_size_v<MeshMessage>, kProductionKinds);
+    EXPECT_EQ(wire::kPeerProtocolVersion, 3U);
+    EXPECT_EQ(std::variant_size_v<PeerMessage>, kProductionKinds);
     for (const auto& recorded : recorded_frames()) {
         const auto kind = static_cast<std::uint8_t>(wire::encode_frame(recorded.message)[1]);
         EXPECT_LE(kind, kProductionKinds);
@@ -206,20 +206,20 @@
 TEST(MixedVersions, ProductionAnnouncesThatItKnowsWaitingJobsAndNoMore) {
     const auto message = read_frame(from_hex(kProductionCapabilities));
     ASSERT_TRUE(message);
-    const auto capabilities = std::get<wire::MeshHeartbeat>(*message).capabilities;
+    const auto capabilities = std::get<wire::PeerHeartbeat>(*message).capabilities;
     EXPECT_EQ(capabilities, core::kKnowsWaitingJobs);
     EXPECT_EQ(capabilities & core::kSharesWritesFairly, 0U);
 }
 
 TEST(MixedVersions, TheNextEpochKeepsFieldsOfALaterVersion) {
     core::EpochInput input;
-    input.current.later_fields = R"({"later":1})";
+    input.current.unknown_fields = R"({"later":1})";
     input.self = {"n1", 7};
-    input.nodes["n1"] = {7, 3, core::kCapabilities};
+    input.member_records["n1"] = {7, 3, core::kCapabilities};
     input.teams = {{"print-room", 1, 1, 0, 0}};
     const auto plan = core::plan_epoch(input);
     ASSERT_TRUE(plan);
-    EXPECT_EQ(plan->next.later_fields, input.current.later_fields);
+    EXPECT_EQ(plan->next.unknown_fields, input.current.unknown_fields);
 }
 
 TEST(MixedVersions, RecordsOfProductionAreReadAndWrittenAsItDoes) {
@@ -258,17 +258,17 @@
         for (std::uint32_t t = 0; t < open; ++t)
             chunk.open[i % 3 * core::kChunkTasks + t] = {t + 1, "n-" + std::to_string(100000 + t), 1};
     }
-    service::PageContent content;
+    controller::PageContent content;
     for (const auto& [key, chunk] : chunks) content[key] = &chunk;
     constexpr std::size_t kLimit = 2048;
     const auto most = *rc::gen::inRange<std::size_t>(1, 30);
-    const auto parts = service::split_page(content, kLimit, most);
+    const auto parts = controller::split_page(content, kLimit, most);
     RC_ASSERT(parts.size() <= most);
-    service::PageContent joined;
+    controller::PageContent joined;
     std::size_t sum = 0;
     for (std::size_t i = 0; i < parts.size(); ++i) {
         const auto written = wire::page_record(parts[i]).dump().size();
-        RC_ASSERT(written <= service::page_bytes(parts[i]));
+        RC_ASSERT(written <= controller::page_bytes(parts[i]));
         // What did not fit into so many parts stays on the first.
         RC_ASSERT(written <= kLimit || (i == 0 && parts.size() == most));
         joined.insert(parts[i].begin(), parts[i].end());
@@ -308,7 +308,7 @@
         auto filled = fill_page(s);
         co_await std::move(filled);
         EXPECT_GT(largest_page(s), kLowered);  // else this test shows nothing
-        s.adjust = [](service::Settings& settings) {
+        s.adjust = [](controller::Settings& settings) {
             settings.value_kb = 0.5;
             settings.txn_ops = 4;
         };
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -71,10 +71,10 @@
     holds("any bytes are refused or read", [](const std::string& bytes) {
         if (const auto v = wire::decode(bytes)) {
             (void)wire::parse_submission(*v);
-            (void)wire::parse_report(*v);
+            (void)wire::parse_worker_heartbeat(*v);
             (void)wire::parse_watch(*v);
             (void)wire::parse_page(*v);
-            (void)wire::parse_rentals(*v);
+            (void)wire::parse_instances(*v);
         }
     });
 }
@@ -87,12 +87,12 @@
                     {"tick", 88},          {"baton", 41},
                     {"warningS", nullptr}, {"legs", {task}}};
     const std::string bytes = wire::encode(good);
-    ASSERT_TRUE(wire::parse_report(*wire::decode(bytes)).has_value());
+    ASSERT_TRUE(wire::parse_worker_heartbeat(*wire::decode(bytes)).has_value());
     holds("one changed byte", [&] {
         std::string damaged = bytes;
         const auto at = *rc::gen::inRange<std::size_t>(0, damaged.size());
         damaged[at] = static_cast<char>(*rc::gen::inRange(0, 256));
-        if (const auto v = wire::decode(damaged)) (void)wire::parse_report(*v);
+        if (const auto v = wire::decode(damaged)) (void)wire::parse_worker_heartbeat(*v);
     });
 }
 
@@ -123,7 +123,7 @@
         RC_ASSERT(again.has_value());
         RC_ASSERT(again->done == c.done);
         RC_ASSERT(again->open == c.open);
-        RC_ASSERT(again->stamp == 7U);
+        RC_ASSERT(again->mod_revision == 7U);
         // The smallest value limit that settings allow is 4 KiB of JSON.
         RC_ASSERT(wire::chunk_record(c).dump().size() < 4096U);
     });
