--- a/src/api/dependency_admission.cpp
+++ b/src/api/dependency_admission.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "store/store_keys.hpp"
+
 namespace hatchwind::controller {
 
 using io::Micros;
@@ -45,32 +47,31 @@
 }  // namespace
 
 bool DependencyAdmission::knows_waiting_jobs(const core::Member& member) const {
-    if (member.label == node_.self.label) return true;
-    if (const auto record = node_.member_records.find(member.label);
-        record != node_.member_records.end() && record->second.store_lease == member.store_lease &&
+    if (member.label == leadership_.label()) return true;
+    if (const auto record = replicated_.member_records().find(member.label);
+        record != replicated_.member_records().end() && record->second.store_lease == member.store_lease &&
         (record->second.capabilities & core::kKnowsWaitingJobs) != 0)
         return true;
-    const auto peer = node_.peers.find(member.label);
-    return peer != node_.peers.end() && peer->second.heartbeat.store_lease == member.store_lease &&
-           (peer->second.heartbeat.capabilities & core::kKnowsWaitingJobs) != 0;
+    const wire::PeerHeartbeat* heartbeat = peers_.heartbeat_of(member);
+    return heartbeat != nullptr && (heartbeat->capabilities & core::kKnowsWaitingJobs) != 0;
 }
 
 bool DependencyAdmission::everyone_knows_waiting_jobs() const {
-    const auto& members = node_.epoch.members;
+    const auto& members = replicated_.epoch().members;
     const bool all_members = std::all_of(members.begin(), members.end(),
                                          [&](const auto& member) { return knows_waiting_jobs(member); });
     // A node that is no member yet answers users all the same.
-    return all_members &&
-           std::all_of(node_.member_records.begin(), node_.member_records.end(), [&](const auto& node) {
-               return knows_waiting_jobs({node.first, node.second.store_lease});
-           });
+    return all_members && std::all_of(replicated_.member_records().begin(),
+                                      replicated_.member_records().end(), [&](const auto& node) {
+                                          return knows_waiting_jobs({node.first, node.second.store_lease});
+                                      });
 }
 
 std::vector<std::string> DependencyAdmission::undecided(const std::vector<std::string>& dependencies) const {
     std::vector<std::string> ids;
     std::copy_if(dependencies.begin(), dependencies.end(), std::back_inserter(ids),
                  [&](const std::string& id) {
-                     return node_.job_table.find(id) == nullptr && final_states_.known(id) == nullptr;
+                     return replicated_.job_table().find(id) == nullptr && final_states_.known(id) == nullptr;
                  });
     return ids;
 }
@@ -115,7 +116,7 @@
     const core::TerminalStateLookup ending = [this](const std::string& id) {
         return final_states_.ending(id);
     };
-    if (core::look_back(node_.job_table, dependencies, ending).cancelled)
+    if (core::look_back(replicated_.job_table(), dependencies, ending).cancelled)
         co_return DependencyStatus::cancelled;
     std::erase_if(dependencies, [&](const std::string& id) {
         return final_states_.ending(id) == core::TerminalState::done;
@@ -142,7 +143,7 @@
     // The list as submitted, so that each repeat writes the same records and goes on where the last one
     // ended.
     std::vector<std::string> submitted = std::exchange(job.dependencies, std::move(dependencies));
-    if (json_bytes(wire::job_record(job)) <= node_.settings.value_bytes()) co_return DependencyStatus::wait;
+    if (json_bytes(wire::job_record(job)) <= settings_.value_bytes()) co_return DependencyStatus::wait;
     job.dependencies = std::move(submitted);
     auto storing = store_list(job, deadline);
     const bool stored = co_await std::move(storing);
@@ -150,13 +151,13 @@
 }
 
 Task<bool> DependencyAdmission::store_list(core::Job& job, Micros deadline) {
-    const auto parts = split(job.dependencies, std::min(node_.settings.value_bytes(), kPartBytes));
+    const auto parts = split(job.dependencies, std::min(settings_.value_bytes(), kPartBytes));
     job.dependency_list = list_name(job.dependencies);
     job.dependency_parts = static_cast<std::uint32_t>(parts.size());
-    const auto have = node_.job_table.dependency_parts().find(job.id);
+    const auto have = replicated_.job_table().dependency_parts().find(job.id);
     std::vector<std::uint32_t> missing;
     for (std::uint32_t number = 0; number < parts.size(); ++number) {
-        if (have == node_.job_table.dependency_parts().end() ||
+        if (have == replicated_.job_table().dependency_parts().end() ||
             !have->second.contains({job.dependency_list, number}))
             missing.push_back(number);
     }
@@ -164,7 +165,7 @@
         wire::Transaction t;
         std::vector<wire::StoreItem> effects;
         std::size_t bytes = 0;
-        for (; next < missing.size() && t.writes.size() < node_.settings.txn_ops; ++next) {
+        for (; next < missing.size() && t.writes.size() < settings_.txn_ops; ++next) {
             const std::uint32_t number = missing[next];
             wire::Json record = wire::job_ids_record(parts[number]);
             bytes += json_bytes(record);
@@ -173,10 +174,10 @@
             t.writes.push_back({key, record, 0});
             effects.push_back({key, std::move(record), 0});
         }
-        auto task = node_.state.commit(std::move(t), deadline, CommitPriority{true, std::nullopt});
+        auto task = store_.commit(std::move(t), deadline, CommitPriority{true, std::nullopt});
         const CommitResult r = co_await std::move(task);
         if (r.outcome != CommitOutcome::committed) co_return false;
-        replica_.committed(effects, r.revision);
+        replica_.apply_own_commit(effects, r.revision);
     }
     co_return true;
 }
@@ -188,14 +189,14 @@
     };
     const std::vector<std::string> asked{id};
     for (int round = 0; round < kRoundsOfReading; ++round) {
-        const core::Ancestry ancestry = core::look_back(node_.job_table, asked, ending);
+        const core::Ancestry ancestry = core::look_back(replicated_.job_table(), asked, ending);
         if (ancestry.cancelled) co_return Verdict::cancelled;
         if (!ancestry.complete) co_return Verdict::undecided;
         if (ancestry.unknown_terminal_states.empty()) co_return Verdict::not_cancelled;
         auto reading = read_terminal_states(ancestry.unknown_terminal_states, deadline);
         const bool read = co_await std::move(reading);
         if (!read) co_return Verdict::undecided;
-        const core::JobEntry* entry = node_.job_table.find(id);
+        const core::JobEntry* entry = replicated_.job_table().find(id);
         if (entry == nullptr || !entry->job.waiting()) co_return Verdict::not_cancelled;
     }
     co_return Verdict::undecided;
--- a/src/api/dependency_admission.hpp
+++ b/src/api/dependency_admission.hpp
@@ -1,16 +1,28 @@
 // What users are told of jobs that wait for others, and what a submission that names others comes to.
 #pragma once
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "cluster/peer_directory.hpp"
+#include "config/settings.hpp"
 #include "store/final_state_reader.hpp"
 #include "store/replica.hpp"
+#include "store/replicated_state.hpp"
+#include "store/store_client.hpp"
 
 namespace hatchwind::controller {
 
 class DependencyAdmission {
   public:
-    DependencyAdmission(Node& node, Replica& replica, FinalStateReader& final_states)
-        : node_(node), replica_(replica), final_states_(final_states) {}
+    DependencyAdmission(const Settings& settings, const ReplicatedState& replicated,
+                        const Leadership& leadership, const PeerDirectory& peers, StoreClient& store,
+                        Replica& replica, FinalStateReader& final_states)
+        : settings_(settings),
+          replicated_(replicated),
+          leadership_(leadership),
+          peers_(peers),
+          store_(store),
+          replica_(replica),
+          final_states_(final_states) {}
 
     enum class DependencyStatus : std::uint8_t {
         none,            // all are done: the job is like any other
@@ -42,7 +54,11 @@
     // Puts a list that is too long for the job's record into records beside it.
     io::Task<bool> store_list(core::Job& job, io::Micros deadline);
 
-    Node& node_;
+    const Settings& settings_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    const PeerDirectory& peers_;
+    StoreClient& store_;
     Replica& replica_;
     FinalStateReader& final_states_;
 };
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -19,7 +19,7 @@
     std::uint32_t running = 0;
     for (const auto& [i, c] : e.chunks) {
         for (const auto& [task, a] : c.open) {
-            const auto v = core::view_attempt(node_.cluster_view, e.job.id, task, a);
+            const auto v = core::view_attempt(context_.workers.cluster_view(), e.job.id, task, a);
             running += v.status == core::AttemptStatus::live && v.state == core::TaskState::running ? 1 : 0;
         }
     }
@@ -30,7 +30,7 @@
 }
 
 Task<Lookup> UserApi::describe_unfinished(std::string id, HttpResponse& answer, Micros deadline) {
-    const core::JobEntry* entry = node_.job_table.find(id);
+    const core::JobEntry* entry = context_.replicated.job_table().find(id);
     if (entry != nullptr && entry->job.waiting() && !entry->job.cancelled) {
         auto task = dependency_admission_.cancelled_by_dependency(id, deadline);
         const auto verdict = co_await std::move(task);
@@ -39,7 +39,7 @@
             answer = response_with(200, wire::job_answer(id, wire::JobStatus::cancelled, 0, 0));
             co_return Lookup::found;
         }
-        entry = node_.job_table.find(id);
+        entry = context_.replicated.job_table().find(id);
     }
     if (entry == nullptr) co_return Lookup::absent;
     answer = describe(*entry, 200);
@@ -47,8 +47,8 @@
 }
 
 Task<Lookup> UserApi::current_state(std::string id, HttpResponse& answer, Micros deadline) {
-    if (final_states_.known(id) == nullptr && node_.job_table.find(id) != nullptr) {
-        auto index = replica_.wait_for_read_index(deadline);
+    if (context_.final_states.known(id) == nullptr && context_.replicated.job_table().find(id) != nullptr) {
+        auto index = context_.replica.wait_for_read_index(deadline);
         const bool current = co_await std::move(index);
         if (!current) co_return Lookup::failed;
         auto describing = describe_unfinished(id, answer, deadline);
@@ -60,19 +60,19 @@
     // (UserAnswers.AnEndedJobIsAnsweredWhileTheStateServiceIsSlow).
     FinalState final_state;
     core::Revision revision = 0;
-    auto first = final_states_.find(id, final_state, revision, deadline);
+    auto first = context_.final_states.find(id, final_state, revision, deadline);
     Lookup found = co_await std::move(first);
     if (found == Lookup::absent) {
         // That answer is a read index itself: what was accepted before it and had not ended is in the
         // replica.
-        auto wait_for_revision = replica_.wait_for_revision(revision, deadline);
+        auto wait_for_revision = context_.replica.wait_for_revision(revision, deadline);
         const bool current = co_await std::move(wait_for_revision);
         if (!current) co_return Lookup::failed;
         auto describing = describe_unfinished(id, answer, deadline);
         const Lookup described = co_await std::move(describing);
         if (described != Lookup::absent) co_return described;
         // The replica may be past that revision by now, and the job may have come and ended in between.
-        auto second = final_states_.find(id, final_state, revision, deadline);
+        auto second = context_.final_states.find(id, final_state, revision, deadline);
         found = co_await std::move(second);
     }
     if (found == Lookup::found)
@@ -81,7 +81,8 @@
 }
 
 Task<HttpResponse> UserApi::refuse_unless_accepted(std::string id, HttpResponse refusal) {
-    if (final_states_.known(id) == nullptr && (!node_.replica_loaded || !node_.state.reachable(steady_now())))
+    if (context_.final_states.known(id) == nullptr &&
+        (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())))
         co_return retry_later();
     HttpResponse answer;
     auto lookup = current_state(id, answer, steady_now() + Micros{2'500'000});
@@ -93,12 +94,12 @@
 
 Task<HttpResponse> UserApi::poll(std::string id) {
     if (!wire::is_job_id(id)) co_return plain_response(404);
-    if (const FinalState* state = final_states_.known(id)) {
+    if (const FinalState* state = context_.final_states.known(id)) {
         co_return response_with(200, wire::job_answer(id, state->status, state->done, 0));
     }
     if (polling_ >= kPolling) co_return retry_later(429);
     const RequestCount counted{polling_};
-    if (!node_.replica_loaded || !node_.state.reachable(steady_now())) co_return retry_later();
+    if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
     HttpResponse answer;
     auto lookup = current_state(std::move(id), answer, steady_now() + Micros{1'700'000});
     const Lookup found = co_await std::move(lookup);
@@ -108,16 +109,16 @@
 
 HttpResponse UserApi::health() const {
     const Micros now = steady_now();
-    if (!node_.replica_loaded || !node_.catalog) return plain_response(503);
-    if (!node_.state.reachable(now)) {
+    if (!context_.replicated.is_loaded() || !context_.catalog) return plain_response(503);
+    if (!context_.store.reachable(now)) {
         // With every node in the same trouble, leaving the load balancer's list only makes the return slower.
         // A node that hears none of the others either is more likely the only one in trouble: its users were
         // sent to it for as long as it lasted.
-        bool alone = !node_.peers.empty();
-        for (const auto& [label, p] : node_.peers) {
-            if (!node_.peer_fresh(label, now)) continue;
+        bool alone = context_.peers.size() != 0;
+        for (const auto& [label, peer] : context_.peers.all()) {
+            if (!context_.peers.is_fresh(label, now)) continue;
             alone = false;
-            if (p.heartbeat.state_ok) return plain_response(503);
+            if (peer.heartbeat.state_ok) return plain_response(503);
         }
         if (alone) return plain_response(503);
     }
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -4,16 +4,39 @@
 #include <optional>
 
 #include "api/dependency_admission.hpp"
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "cluster/peer_directory.hpp"
+#include "cluster/peer_links.hpp"
+#include "config/settings.hpp"
+#include "store/change_signals.hpp"
 #include "store/final_state_reader.hpp"
 #include "store/replica.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
+/// What the users' interface reads, and what it changes.
+struct UserApiContext {
+    const Settings& settings;
+    const std::optional<core::Catalog>& catalog;
+    const ReplicatedState& replicated;
+    const Leadership& leadership;
+    const PeerDirectory& peers;
+    const WorkerStatus& workers;
+    StoreClient& store;
+    Replica& replica;
+    FinalStateReader& final_states;
+    PeerLinks& links;
+    ChangeSignals& signals;
+};
+
 class UserApi {
   public:
-    UserApi(Node& n, Replica& r, FinalStateReader& final_states)
-        : node_(n), replica_(r), final_states_(final_states), dependency_admission_(n, r, final_states) {}
+    explicit UserApi(const UserApiContext& context)
+        : context_(context),
+          dependency_admission_(context.settings, context.replicated, context.leadership, context.peers,
+                                context.store, context.replica, context.final_states) {}
     io::Task<io::HttpResponse> submit(io::HttpRequest request);
     io::Task<io::HttpResponse> poll(std::string id);
     io::Task<io::HttpResponse> cancel(std::string id);
@@ -47,11 +70,9 @@
     io::HttpResponse describe(const core::JobEntry& e, int status) const;
     std::optional<std::string> impossible(const core::Job& j) const;
 
-    Node& node_;
-    Replica& replica_;
+    const UserApiContext context_;
     std::size_t submitting_ = 0;
     std::size_t polling_ = 0;
-    FinalStateReader& final_states_;
     DependencyAdmission dependency_admission_;
 };
 
--- a/src/api/user_api_cancel.cpp
+++ b/src/api/user_api_cancel.cpp
@@ -1,6 +1,7 @@
 // Cancellations: committed by whichever node is asked, and told to the others before the user is answered.
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
+#include "store/store_keys.hpp"
 
 namespace hatchwind::controller {
 
@@ -29,28 +30,29 @@
 }  // namespace
 
 HttpResponse UserApi::confirm_cancel(const std::string& id) const {
-    const core::JobEntry* entry = node_.job_table.find(id);
-    if (entry != nullptr && entry->job.cancelled && node_.announce_cancellation) {
-        node_.announce_cancellation({{{id, entry->mod_revision, entry->job.cancelled_at.count()}}});
+    const core::JobEntry* entry = context_.replicated.job_table().find(id);
+    if (entry != nullptr && entry->job.cancelled) {
+        context_.links.broadcast(
+            wire::CancellationBroadcast{{{id, entry->mod_revision, entry->job.cancelled_at.count()}}});
     }
     return response_with(200, wire::job_answer(id, wire::JobStatus::cancelled));
 }
 
 Task<HttpResponse> UserApi::cancel(std::string id) {
     if (!wire::is_job_id(id)) co_return plain_response(404);
-    if (const FinalState* ended = final_states_.known(id))
+    if (const FinalState* ended = context_.final_states.known(id))
         co_return response_with(200, wire::job_answer(id, ended->status));
     if (submitting_ >= kMostSubmitting) co_return retry_later(429);
     const RequestCount counted{submitting_};
-    if (!node_.replica_loaded || !node_.state.reachable(steady_now())) co_return retry_later();
+    if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
     const Micros deadline = steady_now() + kCancelTime;
     for (int attempt = 0; attempt < kCancelAttempts; ++attempt) {
-        if (node_.job_table.find(id) == nullptr) {
-            auto index = replica_.wait_for_read_index(deadline);
+        if (context_.replicated.job_table().find(id) == nullptr) {
+            auto index = context_.replica.wait_for_read_index(deadline);
             const bool current = co_await std::move(index);
             if (!current) co_return retry_later();
         }
-        const core::JobEntry* entry = node_.job_table.find(id);
+        const core::JobEntry* entry = context_.replicated.job_table().find(id);
         if (entry == nullptr) {
             auto answering = answer_ended(id, deadline);
             HttpResponse response = co_await std::move(answering);
@@ -67,7 +69,7 @@
 Task<HttpResponse> UserApi::answer_ended(std::string id, Micros deadline) {
     FinalState final_state;
     core::Revision revision = 0;
-    auto reading = final_states_.find(id, final_state, revision, deadline);
+    auto reading = context_.final_states.find(id, final_state, revision, deadline);
     const Lookup found = co_await std::move(reading);
     if (found == Lookup::failed) co_return retry_later();
     if (found == Lookup::absent) co_return plain_response(404);
@@ -78,21 +80,21 @@
 Task<std::optional<HttpResponse>> UserApi::commit_cancel(const core::JobEntry& entry, Micros deadline) {
     const std::string id = entry.job.id;
     const core::Revision mod_revision = entry.mod_revision;
-    const wire::Json record = wire::job_record(cancelled_copy(entry.job, node_.settings.value_limit()));
+    const wire::Json record = wire::job_record(cancelled_copy(entry.job, context_.settings.value_limit()));
     wire::Transaction transaction;
     transaction.conditions = {{keys::job(id), mod_revision}};
     transaction.writes.push_back({keys::job(id), record, 0});
     const CommitPriority priority{true, std::nullopt};
-    auto committing = node_.state.commit(std::move(transaction), deadline, priority);
+    auto committing = context_.store.commit(std::move(transaction), deadline, priority);
     const CommitResult result = co_await std::move(committing);
     if (result.outcome == CommitOutcome::committed) {
-        replica_.committed({keys::job(id), record, result.revision});
-        node_.scheduling_needed.notify_all();
+        context_.replica.apply_own_commit({keys::job(id), record, result.revision});
+        context_.signals.scheduling_needed.notify_all();
         co_return confirm_cancel(id);
     }
     if (result.outcome != CommitOutcome::conflict) co_return retry_later();
     // It was finished or cancelled elsewhere in between.
-    auto reaching = replica_.wait_for_conflict({{keys::job(id), mod_revision}}, result, deadline);
+    auto reaching = context_.replica.wait_for_conflict({{keys::job(id), mod_revision}}, result, deadline);
     const bool reached = co_await std::move(reaching);
     if (!reached) co_return retry_later();
     co_return std::nullopt;
--- a/src/api/user_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -4,6 +4,7 @@
 
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
+#include "store/store_keys.hpp"
 
 namespace hatchwind::controller {
 
@@ -28,10 +29,10 @@
 }  // namespace
 
 std::optional<std::string> UserApi::impossible(const core::Job& j) const {
-    const auto team = node_.settings.teams.find(j.team);
-    if (team == node_.settings.teams.end()) return "unknown team";
+    const auto team = context_.settings.teams.find(j.team);
+    if (team == context_.settings.teams.end()) return "unknown team";
     std::set<std::string> zones;  // with machines that fit
-    for (const auto& [name, t] : *node_.catalog) {
+    for (const auto& [name, t] : *context_.catalog) {
         if (!j.allows_type(name) || !j.resources.fits_in(t.size)) continue;
         for (const auto& z : t.zones) {
             if (!j.zone || *j.zone == z) zones.insert(z);
@@ -53,7 +54,7 @@
     if (!job.types) return;
     std::set<std::string> named;
     std::erase_if(*job.types, [&](const std::string& type) {
-        return !node_.catalog->contains(type) || !named.insert(type).second;
+        return !context_.catalog->contains(type) || !named.insert(type).second;
     });
 }
 
@@ -80,15 +81,16 @@
 Task<HttpResponse> UserApi::decide_submission(core::Job job) {
     // What was accepted once is neither refused nor accepted anew, whatever the settings and the catalog say
     // of it by now.
-    const bool known = final_states_.known(job.id) != nullptr || node_.job_table.find(job.id) != nullptr;
-    const std::optional<std::string> why = known || !node_.catalog ? std::nullopt : impossible(job);
-    if (known || !node_.catalog || why) {
+    const bool known = context_.final_states.known(job.id) != nullptr ||
+                       context_.replicated.job_table().find(job.id) != nullptr;
+    const std::optional<std::string> why = known || !context_.catalog ? std::nullopt : impossible(job);
+    if (known || !context_.catalog || why) {
         HttpResponse refusal = why ? response_with(422, {{"error", *why}}) : retry_later();
         auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
         HttpResponse response = co_await std::move(refusing);
         co_return response;
     }
-    if (!node_.replica_loaded || !node_.state.reachable(steady_now())) co_return retry_later();
+    if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
     // Types that the cloud does not have add nothing, and a long list would pass the value limit.
     drop_unknown_types(job);
     const Micros deadline = steady_now() + kSubmissionTime;
@@ -119,16 +121,16 @@
     const std::string key = cancelled_by_dependency ? keys::final(job.id) : keys::job(job.id);
     transaction.writes.push_back({key, record, 0});
     const CommitPriority priority{true, std::nullopt};
-    auto committing = node_.state.commit(std::move(transaction), deadline, priority);
+    auto committing = context_.store.commit(std::move(transaction), deadline, priority);
     const CommitResult result = co_await std::move(committing);
     if (result.outcome == CommitOutcome::committed && cancelled_by_dependency) {
-        final_states_.note(job.id, {wire::JobStatus::cancelled, 0});
+        context_.final_states.note(job.id, {wire::JobStatus::cancelled, 0});
         co_return response_with(201, wire::job_answer(job.id, wire::JobStatus::cancelled));
     }
     if (result.outcome == CommitOutcome::committed) {
-        replica_.committed({key, record, result.revision});
-        node_.scheduling_needed.notify_all();
-        node_.scaling_needed.notify_all();
+        context_.replica.apply_own_commit({key, record, result.revision});
+        context_.signals.scheduling_needed.notify_all();
+        context_.signals.scaling_needed.notify_all();
         co_return response_with(201, wire::job_answer(job.id, wire::JobStatus::queued));
     }
     // Whether an unanswered commit was carried out, the user's next try will find out.
@@ -139,7 +141,7 @@
 }
 
 Task<HttpResponse> UserApi::describe_known(std::string id, core::Revision revision, Micros deadline) {
-    auto reaching = replica_.wait_for_revision(revision, deadline);
+    auto reaching = context_.replica.wait_for_revision(revision, deadline);
     const bool reached = co_await std::move(reaching);
     if (!reached) co_return retry_later();
     HttpResponse answer;
@@ -149,7 +151,7 @@
     if (described == Lookup::failed) co_return retry_later();
     FinalState final_state;
     core::Revision read_at = 0;
-    auto reading = final_states_.find(id, final_state, read_at, deadline);
+    auto reading = context_.final_states.find(id, final_state, read_at, deadline);
     const Lookup found = co_await std::move(reading);
     if (found != Lookup::found) co_return retry_later();
     co_return response_with(200, wire::job_answer(id, final_state.status, final_state.done, 0));
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -2,160 +2,214 @@
 
 #include <spdlog/spdlog.h>
 
+#include <utility>
+
+#include "store/store_keys.hpp"
+
 namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
 using io::Task;
 
+namespace {
+constexpr Micros kLeaseRetry{250'000};
+constexpr Micros kJoinRetry{200'000};
+constexpr Micros kJoinTimeout{1'500'000};
+constexpr Micros kRenewalGrace{300'000};
+constexpr std::size_t kExtensionRequestsKept = 16;
+constexpr Micros kEpochCheckInterval{150'000};
+constexpr Micros kEpochWriteTimeout{1'200'000};
+constexpr Micros kEpochReplicaTimeout{1'500'000};
+constexpr Micros kTurnLength{120'000};
+}  // namespace
+
 Task<void> Membership::keep_store_lease() {
-    const Micros life = node_.tunables.store_lease_ttl;
     while (true) {
-        if (node_.self.store_lease == 0) {
-            const Micros sent = steady_now();
-            auto task = node_.state.grant_lease(life);
-            const auto store_lease = co_await std::move(task);
-            if (!store_lease) {
-                co_await node_.loop.sleep(Micros{250'000});
-                continue;
-            }
-            // The key tells everyone that a new life of this node has begun: the old one's commits, which
-            // are conditional on the old key or epoch, fail from here on.
-            // Conditional on the key as it stands: a late copy of this write, from an earlier life or from an
-            // attempt that got no answer, would hand the key to a store lease that nobody renews, and the key
-            // would vanish while this life still acts.
-            auto look = node_.state.get(keys::member(node_.self.label), steady_now() + Micros{1'500'000});
-            const GetResult key = co_await std::move(look);
-            if (!key.ok) {
-                co_await node_.loop.sleep(Micros{200'000});
-                continue;
-            }
-            wire::Transaction t;
-            t.conditions.emplace_back(keys::member(node_.self.label), key.mod_revision);
-            wire::Json record{{"grant", *store_lease}, {"capabilities", core::kCapabilities}};
-            t.writes.push_back({keys::member(node_.self.label), std::move(record), *store_lease});
-            auto put = node_.state.commit(std::move(t), steady_now() + Micros{1'500'000});
-            const CommitResult r = co_await std::move(put);
-            if (r.outcome != CommitOutcome::committed) {
-                co_await node_.loop.sleep(Micros{200'000});
-                continue;
-            }
-            node_.self.store_lease = *store_lease;
-            node_.leadership_lease.renewed(sent, life);
-            key_mod_revision_ = r.revision;
-            spdlog::info("event=joined store_lease={}", *store_lease);
+        if (context_.leadership.self().store_lease == 0) {
+            auto joining = join();
+            const bool joined = co_await std::move(joining);
+            if (!joined) continue;
         }
-        co_await node_.loop.sleep(node_.tunables.store_lease_renewal_interval);
-        const auto own = node_.member_records.find(node_.self.label);
-        if (node_.replica_loaded && node_.revision >= key_mod_revision_ &&
-            (own == node_.member_records.end() || own->second.store_lease != node_.self.store_lease)) {
-            // Whatever took the key: without it the others may remove this node.
-            spdlog::warn("event=member_key_lost store_lease={}", node_.self.store_lease);
-            node_.leadership_lease.lost();
-            node_.self.store_lease = 0;
+        co_await context_.loop.sleep(context_.tunables.store_lease_renewal_interval);
+        if (lost_member_key()) {
+            // Whatever took the key: without it the others may remove this controller.
+            spdlog::warn("event=member_key_lost store_lease={}", context_.leadership.self().store_lease);
+            context_.leadership.resign();
             continue;
         }
-        const Micros sent = steady_now();
-        auto task = node_.state.renew_lease(
-            node_.self.store_lease, sent + node_.tunables.store_lease_renewal_interval + Micros{300'000});
-        const auto outcome = co_await std::move(task);
-        if (outcome == StoreClient::Renewal::done) {
-            node_.leadership_lease.renewed(sent, life);
-        } else if (outcome == StoreClient::Renewal::ended) {
-            spdlog::warn("event=store_lease_expired store_lease={}", node_.self.store_lease);
-            node_.leadership_lease.lost();
-            node_.self.store_lease = 0;
-        } else if (broadcast_lease_extension_request && node_.leadership_lease.alive(steady_now())) {
-            // An outage, or a refusal of this node alone: only the others can tell, by promising.
-            wire::LeaseExtensionRequest ask;
-            ask.number = ++extension_request_number_;
-            ask.life_us = static_cast<std::uint64_t>(node_.tunables.lease_extension_ttl.count());
-            ask.revision = node_.revision;
-            extension_requests_[ask.number] = steady_now();
-            if (extension_requests_.size() > 16) extension_requests_.erase(extension_requests_.begin());
-            broadcast_lease_extension_request(ask);
-        }
+        auto renewing = renew();
+        co_await std::move(renewing);
+    }
+}
+
+Task<bool> Membership::join() {
+    const Micros ttl = context_.tunables.store_lease_ttl;
+    const Micros requested_at = steady_now();
+    auto granting = context_.store.grant_lease(ttl);
+    const auto store_lease = co_await std::move(granting);
+    if (!store_lease) {
+        co_await context_.loop.sleep(kLeaseRetry);
+        co_return false;
+    }
+    auto writing = write_member_key(*store_lease);
+    const auto revision = co_await std::move(writing);
+    if (!revision) {
+        co_await context_.loop.sleep(kJoinRetry);
+        co_return false;
+    }
+    context_.leadership.join(*store_lease, requested_at, ttl);
+    key_mod_revision_ = *revision;
+    spdlog::info("event=joined store_lease={}", *store_lease);
+    co_return true;
+}
+
+// The key tells everyone that a new incarnation of this controller has begun: the old one's commits, which
+// are conditional on the old key or epoch, fail from here on. Conditional on the key as it stands: a late
+// copy of this write, from an earlier incarnation or from an attempt that got no answer, would hand the key
+// to a store lease that nobody renews, and the key would vanish while this incarnation still acts.
+Task<std::optional<core::Revision>> Membership::write_member_key(std::uint64_t store_lease) {
+    const std::string key = keys::member(context_.leadership.label());
+    auto reading = context_.store.get(key, steady_now() + kJoinTimeout);
+    const GetResult current = co_await std::move(reading);
+    if (!current.ok) co_return std::nullopt;
+    wire::Transaction transaction;
+    transaction.conditions.emplace_back(key, current.mod_revision);
+    wire::Json record{{"grant", store_lease}, {"capabilities", core::kCapabilities}};
+    transaction.writes.push_back({key, std::move(record), store_lease});
+    auto writing = context_.store.commit(std::move(transaction), steady_now() + kJoinTimeout);
+    const CommitResult result = co_await std::move(writing);
+    if (result.outcome != CommitOutcome::committed) co_return std::nullopt;
+    co_return result.revision;
+}
+
+bool Membership::lost_member_key() const {
+    const ReplicatedState& replicated = context_.replicated;
+    if (!replicated.is_loaded() || replicated.revision() < key_mod_revision_) return false;
+    const core::Member& self = context_.leadership.self();
+    const auto own = replicated.member_records().find(self.label);
+    return own == replicated.member_records().end() || own->second.store_lease != self.store_lease;
+}
+
+Task<void> Membership::renew() {
+    const std::uint64_t store_lease = context_.leadership.self().store_lease;
+    const Micros sent_at = steady_now();
+    const Micros deadline = sent_at + context_.tunables.store_lease_renewal_interval + kRenewalGrace;
+    auto renewing = context_.store.renew_lease(store_lease, deadline);
+    const auto outcome = co_await std::move(renewing);
+    if (outcome == StoreClient::Renewal::done) {
+        context_.leadership.renew(sent_at, context_.tunables.store_lease_ttl);
+    } else if (outcome == StoreClient::Renewal::ended) {
+        spdlog::warn("event=store_lease_expired store_lease={}", store_lease);
+        context_.leadership.resign();
+    } else if (context_.leadership.lease_alive(steady_now())) {
+        // An outage, or a refusal of this controller alone: only the others can tell, by their votes.
+        request_lease_extension();
     }
 }
 
+void Membership::request_lease_extension() {
+    wire::LeaseExtensionRequest request;
+    request.number = ++extension_request_number_;
+    request.life_us = static_cast<std::uint64_t>(context_.tunables.lease_extension_ttl.count());
+    request.revision = context_.replicated.revision();
+    extension_requests_[request.number] = steady_now();
+    if (extension_requests_.size() > kExtensionRequestsKept)
+        extension_requests_.erase(extension_requests_.begin());
+    context_.links.broadcast(request);
+}
+
 bool Membership::may_vote_for_extension() const {
-    // Never with working access to the store, nor while an epoch of ours may still be written, nor in a life
-    // that has not put its own key: a write by an earlier life of this node could still be under way.
-    // A extension vote vouches for every cancellation that this node has confirmed to users, in earlier lives
-    // too: the replica has them all once it holds this life's own key.
-    const bool complete = node_.replica_loaded && node_.revision >= key_mod_revision_;
-    return complete && node_.self.store_lease != 0 && !node_.state.reachable(steady_now()) && !writing_ &&
-           !(unresolved_ && *unresolved_ == node_.epoch.mod_revision);
+    // Never with working access to the store, nor while an epoch of ours may still be written, nor in an
+    // incarnation that has not put its own key: a write by an earlier one could still be under way.
+    // A vote vouches for every cancellation that this controller has confirmed to users, in earlier
+    // incarnations too: the replica has them all once it holds this incarnation's own key.
+    const ReplicatedState& replicated = context_.replicated;
+    const bool complete = replicated.is_loaded() && replicated.revision() >= key_mod_revision_;
+    const bool unresolved = unresolved_ && *unresolved_ == replicated.epoch().mod_revision;
+    return complete && context_.leadership.self().store_lease != 0 &&
+           !context_.store.reachable(steady_now()) && !writing_ && !unresolved;
 }
 
-void Membership::handle_lease_extension_vote(const std::string& from, const wire::LeaseExtensionVote& p) {
-    node_.apply_cancellations(p.cancellations);
-    const auto it = extension_requests_.find(p.number);
-    if (!p.given || it == extension_requests_.end()) return;
-    node_.leadership_lease.record_vote(from, it->second, node_.tunables.lease_extension_ttl, steady_now());
+void Membership::handle_lease_extension_vote(const std::string& from, const wire::LeaseExtensionVote& vote) {
+    context_.replica.apply_cancellations(vote.cancellations);
+    const auto request = extension_requests_.find(vote.number);
+    if (!vote.given || request == extension_requests_.end()) return;
+    context_.leadership.record_vote(from, request->second, context_.tunables.lease_extension_ttl,
+                                    steady_now());
 }
 
 Task<void> Membership::write_epoch(core::EpochPlan plan) {
-    wire::Transaction t;
-    t.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
+    const core::Revision current = context_.replicated.epoch().mod_revision;
+    wire::Transaction transaction;
+    transaction.conditions.emplace_back(keys::kEpoch, current);
     for (const auto& [label, mod_revision] : plan.member_conditions)
-        t.conditions.emplace_back(keys::member(label), mod_revision);
-    t.writes.push_back({keys::kEpoch, wire::epoch_record(plan.next), 0});
+        transaction.conditions.emplace_back(keys::member(label), mod_revision);
+    transaction.writes.push_back({keys::kEpoch, wire::epoch_record(plan.next), 0});
     writing_ = true;
-    const core::Revision on = node_.epoch.mod_revision;
-    auto task = node_.state.commit(std::move(t), steady_now() + Micros{1'200'000});
-    const CommitResult r = co_await std::move(task);
+    auto writing = context_.store.commit(std::move(transaction), steady_now() + kEpochWriteTimeout);
+    const CommitResult result = co_await std::move(writing);
     writing_ = false;
-    if (r.outcome == CommitOutcome::unknown) unresolved_ = on;
-    if (r.outcome == CommitOutcome::committed) {
-        spdlog::info("event=epoch_written number={} revision={}", plan.next.number, r.revision);
+    if (result.outcome == CommitOutcome::unknown) unresolved_ = current;
+    if (result.outcome == CommitOutcome::committed) {
+        spdlog::info("event=epoch_written number={} revision={}", plan.next.number, result.revision);
     }
-    if (r.outcome == CommitOutcome::committed || r.outcome == CommitOutcome::conflict) {
+    if (result.outcome == CommitOutcome::committed || result.outcome == CommitOutcome::conflict) {
         // The watch brings it, and all that was committed before it.
-        auto wait_for_revision = replica_.wait_for_revision(r.revision, steady_now() + Micros{1'500'000});
-        co_await std::move(wait_for_revision);
+        auto waiting =
+            context_.replica.wait_for_revision(result.revision, steady_now() + kEpochReplicaTimeout);
+        co_await std::move(waiting);
     }
 }
 
-// Not split yet: the election and the change of members are one sequence.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity)
+core::EpochInput Membership::epoch_input(Micros now) const {
+    const core::Member& self = context_.leadership.self();
+    core::EpochInput input;
+    input.current = context_.replicated.epoch();
+    input.member_records = context_.replicated.member_records();
+    input.self = self;
+    for (const auto& [name, team] : context_.settings.teams) input.teams.push_back(team);
+    for (const auto& [label, peer] : context_.peers.all()) {
+        if (context_.peers.is_fresh(label, now) && !peer.heartbeat.healthy) input.unhealthy.insert(label);
+    }
+    if (!context_.health.healthy) input.unhealthy.insert(self.label);
+    for (const auto& [label, until] : protected_until_) {
+        if (until > now) input.protected_members.insert(label);
+    }
+    input.bound_by_earlier_votes = now - started_ < context_.tunables.lease_extension_ttl;
+    input.wall_clock_now = io::wall_now();
+    return input;
+}
+
+bool Membership::is_turn_to_write(Micros now) {
+    const std::string& label = context_.leadership.label();
+    if (context_.replicated.epoch().leader == label) return true;
+    // Among equals the first by label goes first, so that they do not all write at once.
+    if (vacant_since_.count() == 0) vacant_since_ = now;
+    std::int64_t rank = 0;
+    for (const auto& [member, record] : context_.replicated.member_records()) {
+        if (member < label) ++rank;
+    }
+    return now - vacant_since_ >= rank * kTurnLength;
+}
+
 Task<void> Membership::keep_epoch() {
     while (true) {
-        co_await node_.replica_advanced.wait(steady_now() + Micros{150'000});
+        co_await context_.signals.replica_advanced.wait(steady_now() + kEpochCheckInterval);
         const Micros now = steady_now();
         // Only with a certainly live store lease: the plan's conditions are on keys that it keeps.
-        if (!node_.replica_loaded || node_.self.store_lease == 0 || !node_.leadership_lease.alive(now))
+        if (!context_.replicated.is_loaded() || context_.leadership.self().store_lease == 0 ||
+            !context_.leadership.lease_alive(now)) {
             continue;
-        core::EpochInput in;
-        in.current = node_.epoch;
-        in.member_records = node_.member_records;
-        in.self = node_.self;
-        for (const auto& [name, team] : node_.settings.teams) in.teams.push_back(team);
-        for (const auto& [label, p] : node_.peers) {
-            if (node_.peer_fresh(label, now) && !p.heartbeat.healthy) in.unhealthy.insert(label);
-        }
-        if (!node_.healthy) in.unhealthy.insert(node_.self.label);
-        for (const auto& [label, until] : protected_until_) {
-            if (until > now) in.protected_members.insert(label);
         }
-        in.bound_by_earlier_votes = now - started_ < node_.tunables.lease_extension_ttl;
-        in.wall_clock_now = io::wall_now();
-        auto plan = core::plan_epoch(in);
+        auto plan = core::plan_epoch(epoch_input(now));
         if (!plan) {
             vacant_since_ = Micros{0};
             continue;
         }
-        if (node_.epoch.leader != node_.self.label) {
-            // Among equals the first by label goes first, so that they do not all write at once.
-            if (vacant_since_.count() == 0) vacant_since_ = now;
-            std::int64_t rank = 0;
-            for (const auto& [label, record] : node_.member_records) {
-                if (label < node_.self.label) ++rank;
-            }
-            if (now - vacant_since_ < Micros{rank * 120'000}) continue;
-        }
-        auto task = write_epoch(std::move(*plan));
-        co_await std::move(task);
+        if (!is_turn_to_write(now)) continue;
+        auto writing = write_epoch(std::move(*plan));
+        co_await std::move(writing);
     }
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,51 +1,79 @@
 #include "controller/controller.hpp"
 
-namespace hatchwind::controller {
+#include <algorithm>
+#include <utility>
 
-using io::HttpRequest;
-using io::HttpResponse;
-using io::Task;
+namespace hatchwind::controller {
 
 namespace {
-io::HttpLimits limits(const Settings& s) {
-    io::HttpLimits l;
-    // What workers, store, cloud and mesh need goes out through sockets of their own; see Node. A
-    // connection's buffers take some 8 KiB.
-    const auto by_memory = static_cast<std::size_t>(s.memory_mb * 1024 / 2 / 32);
-    l.connections = std::min(s.max_connections * 5 / 8, std::max<std::size_t>(by_memory, 64));
-    l.kept = l.connections * 3 / 4;
-    return l;
-}
-HttpResponse status(int code) {
-    HttpResponse r;
-    r.status = code;
-    return r;
+constexpr std::size_t kIdleWorkerConnections = 1;  // to each worker
+constexpr std::size_t kIdleCloudConnections = 2;
+
+// What workers, store, cloud and peers need goes out through sockets of their own: a quarter of them to
+// workers, five eighths for incoming connections. A connection's buffers take some 8 KiB.
+io::HttpLimits http_limits(const Settings& settings) {
+    constexpr std::size_t kLeastConnections = 64;
+    constexpr double kKilobytesPerMegabyte = 1024;
+    constexpr double kMemoryPart = 1.0 / 2;
+    constexpr double kKilobytesPerConnection = 32;
+    const auto by_memory = static_cast<std::size_t>(settings.memory_mb * kKilobytesPerMegabyte * kMemoryPart /
+                                                    kKilobytesPerConnection);
+    io::HttpLimits limits;
+    limits.connections = std::min(settings.max_connections * 5 / 8, std::max(by_memory, kLeastConnections));
+    limits.kept = limits.connections * 3 / 4;
+    return limits;
 }
 }  // namespace
 
-Controller::Controller(io::Loop& loop, Settings s, Tunables t)
-    : node_(loop, std::move(s), t),
-      replica_(node_),
-      membership_(node_, replica_),
-      peer_mesh_(node_, membership_),
-      workers_(node_, scope_),
-      final_states_(node_, replica_),
-      user_api_(node_, replica_, final_states_),
-      dependency_reconciler_(node_, replica_, final_states_),
-      shard_scheduler_(node_, replica_, workers_),
-      scaling_(node_, replica_),
-      cancellation_enforcer_(node_, workers_, scaling_),
-      server_(loop, node_.settings.api, limits(node_.settings),
-              [this](HttpRequest r) { return handle(std::move(r)); }) {}
+Controller::Controller(io::Loop& loop, Settings settings, const Tunables& tunables)
+    : settings_(std::move(settings)),
+      tunables_(tunables),
+      signals_(loop),
+      store_(loop, settings_),
+      leadership_(settings_, replicated_),
+      peers_(settings_),
+      links_(loop, settings_),
+      worker_http_(loop, kIdleWorkerConnections, settings_.max_connections / 4),
+      cloud_http_(loop, kIdleCloudConnections),
+      leases_(settings_, replicated_, peers_, leadership_),
+      workers_({settings_, replicated_, catalog_, leases_, probes_, health_, links_, signals_, worker_http_}),
+      replica_(loop, settings_, tunables_, store_, replicated_, signals_),
+      membership_({loop, settings_, tunables_, replicated_, peers_, health_, store_, replica_, signals_,
+                   leadership_, links_}),
+      write_share_(replicated_, leadership_, peers_, store_),
+      peer_messages_({replicated_, leadership_, replica_, peers_, links_, reservations_, membership_,
+                      workers_, probes_, write_share_}),
+      peer_heartbeats_({loop, replicated_, leadership_, peers_, health_, workers_, probes_, store_, leases_,
+                        links_, write_share_}),
+      peer_mesh_(loop, settings_, workers_, links_, peer_messages_),
+      heartbeats_(replicated_, leadership_, peers_, leases_, workers_),
+      commands_({loop, scope_, replicated_, leadership_, workers_, probes_, signals_, worker_http_}),
+      reachability_(
+          {loop, scope_, settings_, replicated_, workers_, probes_, health_, signals_, worker_http_}),
+      final_states_(loop, store_, replica_.final_states()),
+      user_api_({settings_, catalog_, replicated_, leadership_, peers_, workers_, store_, replica_,
+                 final_states_, links_, signals_}),
+      dependency_reconciler_(loop, settings_, replicated_, leadership_, store_, replica_, signals_,
+                             final_states_),
+      shard_scheduler_({loop, settings_, tunables_, catalog_, replicated_, leadership_, workers_, leases_,
+                        store_, replica_, reservations_, links_, commands_, free_capacity_cache_, signals_}),
+      scaling_({loop, settings_, tunables_, replicated_, leadership_, probes_, health_, store_, replica_,
+                workers_, catalog_, free_capacity_cache_, signals_, cloud_http_}),
+      cancellation_enforcer_(loop, settings_, replicated_, leadership_, workers_, probes_, commands_,
+                             scaling_),
+      router_(heartbeats_, user_api_),
+      server_(loop, settings_.api, http_limits(settings_),
+              [this](io::HttpRequest request) { return router_.handle(std::move(request)); }) {}
 
 void Controller::start() {
     scope_.spawn(server_.serve());
     scope_.spawn(replica_.run());
     scope_.spawn(membership_.keep_store_lease());
     scope_.spawn(membership_.keep_epoch());
+    scope_.spawn(peer_heartbeats_.run());
     peer_mesh_.start(scope_);
-    scope_.spawn(workers_.monitor_worker_connectivity());
-    scope_.spawn(workers_.probe_unconfirmed_workers());
+    scope_.spawn(reachability_.monitor_worker_connectivity());
+    scope_.spawn(reachability_.probe_unconfirmed_workers());
     scope_.spawn(shard_scheduler_.run());
     scope_.spawn(scaling_.keep_catalog());
     scope_.spawn(scaling_.keep_list());
@@ -56,39 +84,4 @@
     scope_.spawn(dependency_reconciler_.run());
 }
 
-Task<HttpResponse> Controller::handle(HttpRequest request) {
-    constexpr std::string_view jobs = "/api/jobs";
-    constexpr std::string_view cancel = "/cancel";
-    const std::string target = request.target.substr(0, request.target.find('?'));
-    const std::string method = request.method;
-    if (target == "/hello") {
-        if (method != "POST") co_return status(405);
-        if (request.body_too_large) co_return status(400);
-        auto task = workers_.handle_heartbeat(std::move(request.body));
-        HttpResponse r = co_await std::move(task);
-        co_return r;
-    }
-    if (target == "/healthz") co_return method == "GET" ? user_api_.health() : status(405);
-    if (target == jobs) {
-        if (method != "POST") co_return status(405);
-        auto task = user_api_.submit(std::move(request));
-        HttpResponse r = co_await std::move(task);
-        co_return r;
-    }
-    if (!target.starts_with("/api/jobs/")) co_return status(404);
-    std::string id = target.substr(jobs.size() + 1);
-    if (id.ends_with(cancel)) {
-        id.resize(id.size() - cancel.size());
-        if (method != "POST") co_return status(405);
-        auto task = user_api_.cancel(std::move(id));
-        HttpResponse r = co_await std::move(task);
-        co_return r;
-    }
-    if (id.find('/') != std::string::npos) co_return status(404);
-    if (method != "GET") co_return status(405);
-    auto task = user_api_.poll(std::move(id));
-    HttpResponse r = co_await std::move(task);
-    co_return r;
-}
-
 }  // namespace hatchwind::controller
--- a/src/emulator/deployment.cpp
+++ b/src/emulator/deployment.cpp
@@ -1,5 +1,6 @@
 #include "emulator/deployment.hpp"
 
+#include "store/store_keys.hpp"
 #include "wire/cbor.hpp"
 
 namespace hatchwind::emulator {
--- a/src/scaling/cloud_client.cpp
+++ b/src/scaling/cloud_client.cpp
@@ -15,18 +15,21 @@
 constexpr double kRateUsed = 0.9;  // of the cloud's limit
 }  // namespace
 
-CloudClient::CloudClient(Node& node)
-    : node_(node), budget_(node.settings.cloud_rps * kRateUsed, node.settings.cloud_rps) {}
+CloudClient::CloudClient(io::Loop& loop, const Settings& settings, io::HttpClient& http)
+    : loop_(loop),
+      settings_(settings),
+      http_(http),
+      budget_(settings.cloud_rps * kRateUsed, settings.cloud_rps) {}
 
 Task<io::HttpReply> CloudClient::call(std::string method, std::string target, std::string body) {
     while (true) {
         const Micros wait = budget_.wait(1, steady_now());
         if (wait.count() == 0) break;
-        co_await node_.loop.sleep(wait);
+        co_await loop_.sleep(wait);
     }
     budget_.spend(1, steady_now());
-    auto task = node_.cloud_http.send(node_.settings.cloud, std::move(method), std::move(target),
-                                      std::move(body), steady_now() + kCallTime);
+    auto task = http_.send(settings_.cloud, std::move(method), std::move(target), std::move(body),
+                           steady_now() + kCallTime);
     io::HttpReply reply = co_await std::move(task);
     co_return reply;
 }
--- a/src/scaling/cloud_client.hpp
+++ b/src/scaling/cloud_client.hpp
@@ -3,14 +3,16 @@
 
 #include <string>
 
-#include "cluster/node.hpp"
+#include "config/settings.hpp"
+#include "io/http.hpp"
+#include "io/loop.hpp"
 #include "store/token_bucket.hpp"
 
 namespace hatchwind::controller {
 
 class CloudClient {
   public:
-    explicit CloudClient(Node& node);
+    CloudClient(io::Loop& loop, const Settings& settings, io::HttpClient& http);
 
     // Waits for the budget, then for the reply; status 0: none came in time.
     io::Task<io::HttpReply> call(std::string method, std::string target, std::string body);
@@ -18,7 +20,9 @@
     void record_malformed(const char* call);
 
   private:
-    Node& node_;
+    io::Loop& loop_;
+    const Settings& settings_;
+    io::HttpClient& http_;
     TokenBucket budget_;
     std::uint64_t malformed_ = 0;
 };
--- a/src/scaling/cordon_record.cpp
+++ b/src/scaling/cordon_record.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "store/store_keys.hpp"
+
 namespace hatchwind::controller {
 
 using io::Micros;
@@ -17,9 +19,8 @@
 void CordonRecord::fit_value_limit(std::set<std::string>& machines) const {
     std::size_t bytes = wire::names_record(machines).dump().size();
     for (const bool standing : {false, true}) {
-        for (auto machine = machines.begin();
-             machine != machines.end() && bytes > node_.settings.value_limit();) {
-            if ((node_.cluster_view.find(*machine) != nullptr) != standing) {
+        for (auto machine = machines.begin(); machine != machines.end() && bytes > settings_.value_limit();) {
+            if ((workers_.cluster_view().find(*machine) != nullptr) != standing) {
                 ++machine;
                 continue;
             }
@@ -34,14 +35,14 @@
     // One record for all marks: with one for each machine, giving back hundreds would use up the store's
     // writes.
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
-    transaction.conditions.emplace_back(keys::kDraining, node_.draining_mod_revision);
+    transaction.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
+    transaction.conditions.emplace_back(keys::kDraining, replicated_.draining_mod_revision());
     const wire::Json record = wire::names_record(machines);
     transaction.writes.push_back({keys::kDraining, record, 0});
-    auto task = node_.state.commit(std::move(transaction), io::steady_now() + kCommitTime);
+    auto task = store_.commit(std::move(transaction), io::steady_now() + kCommitTime);
     const CommitResult result = co_await std::move(task);
     if (result.outcome != CommitOutcome::committed) co_return false;
-    replica_.committed({keys::kDraining, record, result.revision});
+    replica_.apply_own_commit({keys::kDraining, record, result.revision});
     co_return true;
 }
 
--- a/src/scaling/cordon_record.hpp
+++ b/src/scaling/cordon_record.hpp
@@ -4,14 +4,19 @@
 #include <set>
 #include <string>
 
-#include "cluster/node.hpp"
+#include "config/settings.hpp"
 #include "store/replica.hpp"
+#include "store/replicated_state.hpp"
+#include "store/store_client.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class CordonRecord {
   public:
-    CordonRecord(Node& node, Replica& replica) : node_(node), replica_(replica) {}
+    CordonRecord(const Settings& settings, const ReplicatedState& replicated, const WorkerStatus& workers,
+                 StoreClient& store, Replica& replica)
+        : settings_(settings), replicated_(replicated), workers_(workers), store_(store), replica_(replica) {}
 
     // Replaces all marks; true once that is committed.
     io::Task<bool> write(std::set<std::string> machines);
@@ -19,7 +24,10 @@
   private:
     // Drops marks that one value cannot hold.
     void fit_value_limit(std::set<std::string>& machines) const;
-    Node& node_;
+    const Settings& settings_;
+    const ReplicatedState& replicated_;
+    const WorkerStatus& workers_;
+    StoreClient& store_;
     Replica& replica_;
 };
 
--- a/src/scaling/eviction_controller.hpp
+++ b/src/scaling/eviction_controller.hpp
@@ -1,17 +1,34 @@
 // Drains: finds machines that can be given back together, by trial repacking, and marks them.
 #pragma once
 
+#include <optional>
 #include <set>
 
-#include "cluster/node.hpp"
+#include "config/settings.hpp"
 #include "core/drain_planner.hpp"
+#include "core/free_capacity.hpp"
+#include "core/model.hpp"
 #include "scaling/cordon_record.hpp"
+#include "store/change_signals.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class EvictionController {
   public:
-    EvictionController(Node& node, CordonRecord& marks) : node_(node), cordons_(marks) {}
+    EvictionController(const Settings& settings, const Tunables& tunables,
+                       const std::optional<core::Catalog>& catalog, const ReplicatedState& replicated,
+                       WorkerStatus& workers, core::FreeCapacityCache& free_capacity_cache,
+                       ChangeSignals& signals, CordonRecord& cordons)
+        : settings_(settings),
+          tunables_(tunables),
+          catalog_(catalog),
+          replicated_(replicated),
+          workers_(workers),
+          free_capacity_cache_(free_capacity_cache),
+          signals_(signals),
+          cordons_(cordons) {}
 
     // Plans once, and marks what is chosen.
     io::Task<void> round();
@@ -26,7 +43,13 @@
     core::DrainSettings drain_settings() const;
     core::DrainResult plan(const core::DrainInput& input);
 
-    Node& node_;
+    const Settings& settings_;
+    const Tunables& tunables_;
+    const std::optional<core::Catalog>& catalog_;
+    const ReplicatedState& replicated_;
+    WorkerStatus& workers_;
+    core::FreeCapacityCache& free_capacity_cache_;
+    ChangeSignals& signals_;
     CordonRecord& cordons_;
     core::DrainState state_;
     std::set<core::TaskRef> was_open_;  // in the last round
--- a/src/scaling/instance_inventory.cpp
+++ b/src/scaling/instance_inventory.cpp
@@ -39,10 +39,10 @@
 void InstanceInventory::take(const Listed& listed) {
     const Micros now = steady_now();
     for (const auto& [machine, instance] : listed) {
-        if (node_.cluster_view.released(machine)) continue;
+        if (workers_.cluster_view().released(machine)) continue;
         KnownInstance& known = known_[machine];
         if (known.rented.count() == 0)
-            known.rented = now - from_seconds(instance.age_s + node_.settings.list_lag_s);
+            known.rented = now - from_seconds(instance.age_s + settings_.list_lag_s);
         known.instance = instance;
         known.seen = now;
         known.listed = true;
@@ -54,9 +54,9 @@
 // new one of ours is missing from it for a while.
 bool InstanceInventory::is_gone(const std::string& machine, const KnownInstance& known, const Listed& listed,
                                 Micros now) const {
-    if (node_.cluster_view.released(machine)) return true;
+    if (workers_.cluster_view().released(machine)) return true;
     if (listed.contains(machine)) return false;
-    const double lag_s = node_.settings.list_lag_s;
+    const double lag_s = settings_.list_lag_s;
     if (known.listed) return now - known.seen > from_seconds(lag_s * 2 + 2);
     return now - known.rented > from_seconds(lag_s * 4 + 10);
 }
@@ -80,12 +80,12 @@
 }
 
 Micros InstanceInventory::boot_time(const KnownInstance& known) const {
-    const auto type = node_.catalog->find(known.instance.type);
-    return type == node_.catalog->end() ? kBootTimeUnknown : type->second.boot;
+    const auto type = catalog_->find(known.instance.type);
+    return type == catalog_->end() ? kBootTimeUnknown : type->second.boot;
 }
 
 bool InstanceInventory::overdue(const KnownInstance& known, Micros now) const {
-    return now - known.rented > boot_time(known) * 3 + from_seconds(node_.settings.report_s + 5);
+    return now - known.rented > boot_time(known) * 3 + from_seconds(settings_.report_s + 5);
 }
 
 bool InstanceInventory::never_came_up(const KnownInstance& known, Micros now) const {
@@ -95,7 +95,7 @@
 std::vector<core::Instance> InstanceInventory::booting(Micros now) const {
     std::vector<core::Instance> booting;
     for (const auto& [machine, known] : known_) {
-        if (node_.cluster_view.find(machine) != nullptr || known.instance.state == InstanceState::failed)
+        if (workers_.cluster_view().find(machine) != nullptr || known.instance.state == InstanceState::failed)
             continue;
         if (!overdue(known, now)) booting.push_back(known.instance);
     }
@@ -105,7 +105,7 @@
 std::vector<std::string> InstanceInventory::failed(Micros now, bool long_term) const {
     std::vector<std::string> failed;
     for (const auto& [machine, known] : known_) {
-        const bool in_view = node_.cluster_view.find(machine) != nullptr;
+        const bool in_view = workers_.cluster_view().find(machine) != nullptr;
         const bool absent = !in_view && long_term && never_came_up(known, now);
         if (known.instance.state == InstanceState::failed || absent) failed.push_back(machine);
     }
--- a/src/scaling/instance_inventory.hpp
+++ b/src/scaling/instance_inventory.hpp
@@ -6,9 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "config/settings.hpp"
+#include "core/model.hpp"
 #include "core/scale_out_planner.hpp"
 #include "scaling/cloud_client.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
@@ -23,7 +25,9 @@
   public:
     using Listed = std::map<std::string, core::Instance>;
 
-    InstanceInventory(Node& node, CloudClient& cloud) : node_(node), cloud_(cloud) {}
+    InstanceInventory(const Settings& settings, const std::optional<core::Catalog>& catalog,
+                      const WorkerStatus& workers, CloudClient& cloud)
+        : settings_(settings), catalog_(catalog), workers_(workers), cloud_(cloud) {}
 
     struct Reading {
         Listed instances;
@@ -50,7 +54,9 @@
     bool is_gone(const std::string& machine, const KnownInstance& known, const Listed& listed,
                  io::Micros now) const;
 
-    Node& node_;
+    const Settings& settings_;
+    const std::optional<core::Catalog>& catalog_;
+    const WorkerStatus& workers_;
     CloudClient& cloud_;
     std::map<std::string, KnownInstance> known_;
 };
--- a/src/scaling/scale_in.cpp
+++ b/src/scaling/scale_in.cpp
@@ -39,9 +39,10 @@
 }
 
 void ScaleIn::add_drained(std::vector<std::string>& due, Micros now) {
-    for (const auto& machine : node_.draining) {
-        if (node_.cluster_view.released(machine) || node_.cluster_view.find(machine) == nullptr) continue;
-        if (!node_.job_table.on_machine(machine).empty()) {
+    for (const auto& machine : replicated_.draining()) {
+        if (workers_.cluster_view().released(machine) || workers_.cluster_view().find(machine) == nullptr)
+            continue;
+        if (!replicated_.job_table().on_machine(machine).empty()) {
             emptied_.erase(machine);
             continue;
         }
@@ -53,20 +54,20 @@
 Micros ScaleIn::silent_for(const std::string& machine, const core::MachineView& view, Micros now) const {
     const Micros silent = now - view.changed;
     // One that only sends is as good as silent: nothing can be started or stopped on it.
-    const auto suspect = node_.probes.find(machine);
-    if (!node_.healthy || suspect == node_.probes.end() || suspect->second.since.count() == 0) return silent;
-    return std::max(silent, now - suspect->second.since);
+    const ProbeState* probe = probes_.find(machine);
+    if (!health_.healthy || probe == nullptr || probe->unanswered_since.count() == 0) return silent;
+    return std::max(silent, now - probe->unanswered_since);
 }
 
 void ScaleIn::add_silent(std::vector<std::string>& due, Micros now, Micros term_began) {
     std::vector<core::SilentMachine> machines;
-    for (const auto& [machine, view] : node_.cluster_view.machines()) {
+    for (const auto& [machine, view] : workers_.cluster_view().machines()) {
         // Not before this leader has had the time to hear them all.
         const Micros silent = std::min(silent_for(machine, view, now), now - term_began);
-        machines.push_back({machine, silent, !node_.job_table.on_machine(machine).empty()});
+        machines.push_back({machine, silent, !replicated_.job_table().on_machine(machine).empty()});
     }
     std::erase_if(silent_released_, [&](Micros at) { return now - at > kSilentReleaseSpan; });
-    const auto silent = core::releasable(machines, node_.tunables.silent_release, silent_released_.size());
+    const auto silent = core::releasable(machines, tunables_.silent_release, silent_released_.size());
     if (silent.empty()) return;
     spdlog::info("event=unresponsive_machines_released count={} standing={}", silent.size(), machines.size());
     due.insert(due.end(), silent.begin(), silent.end());
@@ -74,18 +75,18 @@
 }
 
 Task<void> ScaleIn::clear_marks(Micros now, Micros term_began, bool list_fresh) {
-    const bool list_settled =
-        list_fresh && now - term_began > from_seconds(node_.settings.list_lag_s * 2 + 10);
-    std::set<std::string> marks = node_.draining;
+    const bool list_settled = list_fresh && now - term_began > from_seconds(settings_.list_lag_s * 2 + 10);
+    std::set<std::string> marks = replicated_.draining();
     std::erase_if(marks, [&](const std::string& machine) {
-        if (node_.cluster_view.released(machine)) return true;
-        return node_.cluster_view.find(machine) == nullptr && list_settled && !inventory_.contains(machine);
+        if (workers_.cluster_view().released(machine)) return true;
+        return workers_.cluster_view().find(machine) == nullptr && list_settled &&
+               !inventory_.contains(machine);
     });
     std::erase_if(emptied_, [&](const auto& emptied) { return !marks.contains(emptied.first); });
-    const std::size_t gone = node_.draining.size() - marks.size();
+    const std::size_t gone = replicated_.draining().size() - marks.size();
     const bool worth_a_write = gone >= kMarksWorthAWrite || now - marks_cleared_ > kMarksKept;
     if (gone == 0 || !worth_a_write) co_return;
-    if (!node_.is_cluster_leader() || !node_.state.reachable(steady_now())) co_return;
+    if (!leadership_.is_cluster_leader() || !store_.reachable(steady_now())) co_return;
     marks_cleared_ = now;
     auto task = cordons_.write(std::move(marks));
     co_await std::move(task);
--- a/src/scaling/scale_in.hpp
+++ b/src/scaling/scale_in.hpp
@@ -6,16 +6,34 @@
 #include <string>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "cluster/local_health.hpp"
+#include "config/settings.hpp"
 #include "scaling/cordon_record.hpp"
 #include "scaling/instance_inventory.hpp"
+#include "store/replicated_state.hpp"
+#include "store/store_client.hpp"
+#include "workers/reachability_probes.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class ScaleIn {
   public:
-    ScaleIn(Node& node, const InstanceInventory& instances, CordonRecord& marks)
-        : node_(node), inventory_(instances), cordons_(marks) {}
+    ScaleIn(const Settings& settings, const Tunables& tunables, const StoreClient& store,
+            const ReplicatedState& replicated, const Leadership& leadership, const WorkerStatus& workers,
+            const ReachabilityProbes& probes, const LocalHealth& health, const InstanceInventory& inventory,
+            CordonRecord& cordons)
+        : settings_(settings),
+          tunables_(tunables),
+          store_(store),
+          replicated_(replicated),
+          leadership_(leadership),
+          workers_(workers),
+          probes_(probes),
+          health_(health),
+          inventory_(inventory),
+          cordons_(cordons) {}
 
     // What is to be given back now; `term_began`: since when this node leads.
     std::vector<std::string> due(io::Micros now, io::Micros term_began);
@@ -28,7 +46,14 @@
     void add_silent(std::vector<std::string>& due, io::Micros now, io::Micros term_began);
     io::Micros silent_for(const std::string& machine, const core::MachineView& view, io::Micros now) const;
 
-    Node& node_;
+    const Settings& settings_;
+    const Tunables& tunables_;
+    const StoreClient& store_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    const WorkerStatus& workers_;
+    const ReachabilityProbes& probes_;
+    const LocalHealth& health_;
     const InstanceInventory& inventory_;
     CordonRecord& cordons_;
     std::map<std::string, io::Micros> emptied_;  // draining machines without tasks: since when; steady
--- a/src/scaling/scale_out.cpp
+++ b/src/scaling/scale_out.cpp
@@ -27,11 +27,11 @@
 
 core::ScaleOutInput ScaleOut::scale_out_input(Micros now) const {
     core::ScaleOutInput input;
-    input.job_table = &node_.job_table;
-    input.cluster_view = &node_.cluster_view;
-    input.catalog = &*node_.catalog;
-    input.teams = &node_.settings.teams;
-    input.objectives = &node_.settings.objectives;
+    input.job_table = &replicated_.job_table();
+    input.cluster_view = &workers_.cluster_view();
+    input.catalog = &*catalog_;
+    input.teams = &settings_.teams;
+    input.objectives = &settings_.objectives;
     input.now = now;
     input.wall_clock_now = io::wall_now();
     input.refused_until = refused_until_;
@@ -40,11 +40,11 @@
 }
 
 core::ScaleOutSettings ScaleOut::scale_out_settings() const {
-    core::ScaleOutSettings settings = node_.tunables.fleet;
+    core::ScaleOutSettings settings = tunables_.fleet;
     // As many as can be asked for in some seconds.
-    const auto fleet = static_cast<double>(node_.cluster_view.machines().size());
-    settings.most_per_round = std::max<std::size_t>(
-        settings.most_per_round, static_cast<std::size_t>(fleet * node_.tunables.rent_share));
+    const auto fleet = static_cast<double>(workers_.cluster_view().machines().size());
+    settings.most_per_round = std::max<std::size_t>(settings.most_per_round,
+                                                    static_cast<std::size_t>(fleet * tunables_.rent_share));
     return settings;
 }
 
@@ -52,15 +52,15 @@
     const Micros now = steady_now();
     core::ScaleOutInput input = scale_out_input(now);
     const auto pipelines =
-        core::PipelineSchedule::build(node_.job_table, node_.settings.objectives, input.wall_clock_now);
+        core::PipelineSchedule::build(replicated_.job_table(), settings_.objectives, input.wall_clock_now);
     input.pipelines = &pipelines;
-    const auto wanted =
-        core::plan_scale_out(scale_out_settings(), input,
-                             core::FreeCapacity::build(node_.cluster_view, node_.job_table, *node_.catalog,
-                                                       node_.availability(), &node_.free_capacity_cache));
+    const auto wanted = core::plan_scale_out(
+        scale_out_settings(), input,
+        core::FreeCapacity::build(workers_.cluster_view(), replicated_.job_table(), *catalog_,
+                                  workers_.availability(), &free_capacity_cache_));
     last_plan_ = std::min(steady_now() - now, kPlanCounted);
     for (const auto& [pool, number] : wanted) {
-        if (!node_.is_cluster_leader()) break;
+        if (!leadership_.is_cluster_leader()) break;
         auto task = rent_from(pool, number);
         co_await std::move(task);
     }
@@ -68,8 +68,8 @@
 
 // Never used twice, by any life of any node: the store lease names this life.
 std::string ScaleOut::next_request() {
-    return "hw-" + std::to_string(node_.epoch.number) + "-" + std::to_string(node_.self.store_lease) + "-" +
-           std::to_string(++request_);
+    return "hw-" + std::to_string(replicated_.epoch().number) + "-" +
+           std::to_string(leadership_.self().store_lease) + "-" + std::to_string(++request_);
 }
 
 Task<void> ScaleOut::rent_from(core::InstancePool pool, unsigned number) {
@@ -106,10 +106,10 @@
 // minute.
 void ScaleOut::back_off(const core::InstancePool& pool) {
     double pools = 0;
-    for (const auto& [name, type] : *node_.catalog)
+    for (const auto& [name, type] : *catalog_)
         pools += kKindsOfMachine * static_cast<double>(type.zones.size());
     const double longest_s =
-        std::max(kLeastLongestBackoffSeconds, kCallsPerRefusal * pools / node_.settings.cloud_rps);
+        std::max(kLeastLongestBackoffSeconds, kCallsPerRefusal * pools / settings_.cloud_rps);
     const int doublings = std::min(++refusals_[pool], kBackoffDoublings);
     refused_until_[pool] =
         steady_now() + from_seconds(std::min(kBackoffSeconds * (1 << doublings), longest_s));
--- a/src/scaling/scale_out.hpp
+++ b/src/scaling/scale_out.hpp
@@ -3,19 +3,35 @@
 #pragma once
 
 #include <map>
+#include <optional>
 #include <string>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "config/settings.hpp"
+#include "core/free_capacity.hpp"
+#include "core/model.hpp"
 #include "core/scale_out_planner.hpp"
 #include "scaling/cloud_client.hpp"
 #include "scaling/instance_inventory.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class ScaleOut {
   public:
-    ScaleOut(Node& node, CloudClient& cloud, InstanceInventory& instances)
-        : node_(node), cloud_(cloud), inventory_(instances) {}
+    ScaleOut(const Settings& settings, const Tunables& tunables, const std::optional<core::Catalog>& catalog,
+             const ReplicatedState& replicated, const Leadership& leadership, const WorkerStatus& workers,
+             core::FreeCapacityCache& free_capacity_cache, CloudClient& cloud, InstanceInventory& inventory)
+        : settings_(settings),
+          tunables_(tunables),
+          catalog_(catalog),
+          replicated_(replicated),
+          leadership_(leadership),
+          workers_(workers),
+          free_capacity_cache_(free_capacity_cache),
+          cloud_(cloud),
+          inventory_(inventory) {}
 
     // Plans once and rents what is wanted, as long as this node leads.
     io::Task<void> round();
@@ -32,7 +48,13 @@
     void take_reply(const core::InstancePool& pool, unsigned number, const io::HttpReply& reply);
     void back_off(const core::InstancePool& pool);
 
-    Node& node_;
+    const Settings& settings_;
+    const Tunables& tunables_;
+    const std::optional<core::Catalog>& catalog_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    const WorkerStatus& workers_;
+    core::FreeCapacityCache& free_capacity_cache_;
     CloudClient& cloud_;
     InstanceInventory& inventory_;
     std::map<core::InstancePool, io::Micros> refused_until_;  // steady
--- a/src/scaling/scaling_controller.cpp
+++ b/src/scaling/scaling_controller.cpp
@@ -28,13 +28,26 @@
 constexpr Micros kGiveBackInterval{500'000};
 }  // namespace
 
+ScalingController::ScalingController(const ScalingContext& context)
+    : context_(context),
+      cloud_(context.loop, context.settings, context.cloud_http),
+      inventory_(context.settings, context.catalog, context.workers, cloud_),
+      scale_out_(context.settings, context.tunables, context.catalog, context.replicated, context.leadership,
+                 context.workers, context.free_capacity_cache, cloud_, inventory_),
+      cordons_(context.settings, context.replicated, context.workers, context.store, context.replica),
+      evictions_(context.settings, context.tunables, context.catalog, context.replicated, context.workers,
+                 context.free_capacity_cache, context.signals, cordons_),
+      scale_in_(context.settings, context.tunables, context.store, context.replicated, context.leadership,
+                context.workers, context.probes, context.health, inventory_, cordons_) {}
+
 Task<void> ScalingController::keep_catalog() {
     while (true) {
         auto task = read_catalog();
         co_await std::move(task);
         // Types hardly change and prices move slowly; without a first answer nothing can be decided.
-        const Micros interval = node_.is_cluster_leader() ? kCatalogIntervalLeading : kCatalogInterval;
-        co_await node_.loop.sleep(node_.catalog ? interval : kCatalogRetry);
+        const Micros interval =
+            context_.leadership.is_cluster_leader() ? kCatalogIntervalLeading : kCatalogInterval;
+        co_await context_.loop.sleep(context_.catalog ? interval : kCatalogRetry);
     }
 }
 
@@ -48,9 +61,9 @@
         cloud_.record_malformed("catalog");
         co_return;
     }
-    node_.catalog = std::move(catalog);
-    node_.scheduling_needed.notify_all();
-    node_.scaling_needed.notify_all();
+    context_.catalog = std::move(catalog);
+    context_.signals.scheduling_needed.notify_all();
+    context_.signals.scaling_needed.notify_all();
 }
 
 void ScalingController::start_term() {
@@ -60,18 +73,18 @@
 }
 
 void ScalingController::record_epoch() {
-    if (epoch_ == node_.epoch.number) return;
+    if (epoch_ == context_.replicated.epoch().number) return;
     if (epoch_ == 0 || steady_now() - term_began_ > kLongSinceLed) term_began_ = steady_now();
-    epoch_ = node_.epoch.number;
+    epoch_ = context_.replicated.epoch().number;
 }
 
 Task<void> ScalingController::keep_list() {
     bool led = false;
     while (true) {
-        if (!node_.is_cluster_leader()) {
+        if (!context_.leadership.is_cluster_leader()) {
             led = false;
             list_fresh_ = false;
-            co_await node_.loop.sleep(kNotLeadingPause);
+            co_await context_.loop.sleep(kNotLeadingPause);
             continue;
         }
         if (!led) {
@@ -83,7 +96,7 @@
         const std::size_t listed = co_await std::move(task);
         // A long list takes several calls, and its reading a while.
         const auto pages = static_cast<Micros::rep>(1 + listed / kListPage);
-        co_await node_.loop.sleep(kListInterval + kListPageTime * pages);
+        co_await context_.loop.sleep(kListInterval + kListPageTime * pages);
     }
 }
 
@@ -96,17 +109,17 @@
     auto releasing = release_in_batches(vanished_machines());
     co_await std::move(releasing);
     list_fresh_ = true;
-    node_.scaling_needed.notify_all();
+    context_.signals.scaling_needed.notify_all();
     co_return reading.instances.size();
 }
 
 // Spot machines that the cloud took: shown before, not shown now, and silent.
 std::vector<std::string> ScalingController::vanished_machines() const {
     const Micros now = steady_now();
-    const Micros settled = from_seconds(node_.settings.list_lag_s * 2 + 5);
+    const Micros settled = from_seconds(context_.settings.list_lag_s * 2 + 5);
     std::vector<std::string> vanished;
     if (now - term_began_ <= settled) return vanished;
-    for (const auto& [machine, view] : node_.cluster_view.machines()) {
+    for (const auto& [machine, view] : context_.workers.cluster_view().machines()) {
         if (!inventory_.contains(machine) && now - view.changed > settled) vanished.push_back(machine);
     }
     return vanished;
@@ -114,11 +127,11 @@
 
 Task<void> ScalingController::scale_out() {
     while (true) {
-        co_await node_.scaling_needed.wait(steady_now() + kRentInterval);
+        co_await context_.signals.scaling_needed.wait(steady_now() + kRentInterval);
         // Planning is a twentieth of a node's time at the most: machines take much longer to boot.
-        co_await node_.loop.sleep(std::max(kRentPause, kRentPauseInPlans * scale_out_.last_plan()));
+        co_await context_.loop.sleep(std::max(kRentPause, kRentPauseInPlans * scale_out_.last_plan()));
         // Without a list of this term, what an earlier leader rented would be rented again.
-        if (!node_.is_cluster_leader() || !node_.catalog || !list_fresh_) continue;
+        if (!context_.leadership.is_cluster_leader() || !context_.catalog || !list_fresh_) continue;
         auto round = scale_out_.round();
         co_await std::move(round);
     }
@@ -126,7 +139,8 @@
 
 // Half a second of the cloud's calls at the most: what is left shows again with the next list.
 Task<void> ScalingController::release_in_batches(std::vector<std::string> machines) {
-    const auto most_calls = std::max<std::size_t>(1, static_cast<std::size_t>(node_.settings.cloud_rps / 2));
+    const auto most_calls =
+        std::max<std::size_t>(1, static_cast<std::size_t>(context_.settings.cloud_rps / 2));
     for (std::size_t call = 0; call < most_calls && !machines.empty(); ++call) {
         const std::size_t left = machines.size() - std::min(machines.size(), kMostReleased);
         std::vector<std::string> batch(machines.begin() + static_cast<std::ptrdiff_t>(left), machines.end());
@@ -144,7 +158,7 @@
     if (reply.status != 200) co_return false;
     for (const auto& machine : machines) {
         spdlog::info("event=machine_released machine={}", machine);
-        node_.record_released(machine);
+        context_.workers.record_released(machine);
         const auto pool = inventory_.remove(machine);
         if (pool) scale_out_.pool_freed(*pool);
     }
@@ -153,8 +167,9 @@
 
 Task<void> ScalingController::drain() {
     while (true) {
-        co_await node_.loop.sleep(node_.tunables.drain_loop);
-        if (!node_.is_cluster_leader() || !node_.catalog || !node_.state.reachable(steady_now())) {
+        co_await context_.loop.sleep(context_.tunables.drain_loop);
+        if (!context_.leadership.is_cluster_leader() || !context_.catalog ||
+            !context_.store.reachable(steady_now())) {
             evictions_.pause();
             continue;
         }
@@ -165,8 +180,8 @@
 
 Task<void> ScalingController::scale_in() {
     while (true) {
-        co_await node_.loop.sleep(kGiveBackInterval);
-        if (!node_.is_cluster_leader() || !node_.catalog) {
+        co_await context_.loop.sleep(kGiveBackInterval);
+        if (!context_.leadership.is_cluster_leader() || !context_.catalog) {
             scale_in_.pause();
             continue;
         }
--- a/src/scaling/scaling_controller.hpp
+++ b/src/scaling/scaling_controller.hpp
@@ -2,30 +2,49 @@
 // are modules of their own.
 #pragma once
 
+#include <optional>
 #include <string>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "cluster/local_health.hpp"
+#include "config/settings.hpp"
+#include "io/http.hpp"
 #include "scaling/cloud_client.hpp"
 #include "scaling/cordon_record.hpp"
 #include "scaling/eviction_controller.hpp"
 #include "scaling/instance_inventory.hpp"
 #include "scaling/scale_in.hpp"
 #include "scaling/scale_out.hpp"
+#include "store/change_signals.hpp"
 #include "store/replica.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/reachability_probes.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
+/// What scaling reads, and what it changes.
+struct ScalingContext {
+    io::Loop& loop;
+    const Settings& settings;
+    const Tunables& tunables;
+    const ReplicatedState& replicated;
+    const Leadership& leadership;
+    const ReachabilityProbes& probes;
+    const LocalHealth& health;
+    StoreClient& store;
+    Replica& replica;
+    WorkerStatus& workers;
+    std::optional<core::Catalog>& catalog;
+    core::FreeCapacityCache& free_capacity_cache;
+    ChangeSignals& signals;
+    io::HttpClient& cloud_http;
+};
+
 class ScalingController {
   public:
-    ScalingController(Node& node, Replica& replica)
-        : node_(node),
-          cloud_(node),
-          inventory_(node, cloud_),
-          scale_out_(node, cloud_, inventory_),
-          cordons_(node, replica),
-          evictions_(node, cordons_),
-          scale_in_(node, inventory_, cordons_) {}
+    explicit ScalingController(const ScalingContext& context);
     // Every node needs the machine types, for submissions too.
     io::Task<void> keep_catalog();
     io::Task<void> keep_list();
@@ -44,7 +63,7 @@
     void start_term();
     void record_epoch();
 
-    Node& node_;
+    const ScalingContext context_;
     CloudClient cloud_;
     InstanceInventory inventory_;
     ScaleOut scale_out_;
--- a/src/scheduling/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -7,6 +7,7 @@
 
 #include "scheduling/page_assignment.hpp"
 #include "store/replica.hpp"
+#include "store/store_keys.hpp"
 
 namespace hatchwind::controller {
 
@@ -42,7 +43,8 @@
     for (const auto& job : staged.finished) units.push_back(finish_unit(job, staged));
     std::erase_if(waiting_since_, [&](const auto& chunk) { return !staged.chunks.contains(chunk.first); });
     if (staged.chunks.empty()) return units;
-    const auto assigned = assign_pages(node_, staged, ending);
+    const auto assigned = assign_pages(
+        {settings_, replicated_.job_table(), workers_.cluster_view(), leadership_}, staged, ending);
     PageKeys taken;
     for (const auto& [page, chunks] : assigned) taken.insert(page);
     for (const auto& [page, chunks] : assigned)
@@ -59,7 +61,7 @@
 // The end state replaces the job's record in one step. What its pages say of it leaves with their next
 // writes.
 WriteUnit AttemptPageWriter::finish_unit(const std::string& job, StagedRecords& staged) const {
-    const core::JobEntry& entry = *node_.job_table.find(job);
+    const core::JobEntry& entry = *replicated_.job_table().find(job);
     const auto status = entry.job.cancelled ? wire::JobStatus::cancelled : wire::JobStatus::done;
     WriteUnit unit;
     unit.rank = WriteRank::urgent;
@@ -83,10 +85,10 @@
 
 PageContent AttemptPageWriter::known_content(const core::AttemptPageKey& page, const JobSet& ending) const {
     PageContent content;
-    const auto known = node_.job_table.pages().find(page);
-    if (known == node_.job_table.pages().end()) return content;
+    const auto known = replicated_.job_table().pages().find(page);
+    if (known == replicated_.job_table().pages().end()) return content;
     for (const auto& chunk : known->second.chunks) {
-        const core::JobEntry* entry = node_.job_table.find(chunk.first);
+        const core::JobEntry* entry = replicated_.job_table().find(chunk.first);
         if (entry == nullptr || ending.contains(chunk.first)) continue;
         content[chunk] = &entry->chunks.at(chunk.second);
     }
@@ -98,14 +100,14 @@
                                        const JobSet& ending, Micros now, PageKeys& taken) {
     WriteUnit unit;
     unit.rank = WriteRank::lowest;
-    const auto known = node_.job_table.pages().find(page);
+    const auto known = replicated_.job_table().pages().find(page);
     const core::Revision mod_revision =
-        known == node_.job_table.pages().end() ? 0 : known->second.mod_revision;
+        known == replicated_.job_table().pages().end() ? 0 : known->second.mod_revision;
     unit.conditions.emplace_back(keys::page(page), mod_revision);
     PageContent content = known_content(page, ending);
     // Of those that a transaction may have, some are left to the epoch and to the parts of a page that is
     // split.
-    const std::size_t most_conditions = kConditionsOfJobsPerWrite * node_.settings.txn_ops - 1;
+    const std::size_t most_conditions = kConditionsOfJobsPerWrite * settings_.txn_ops - 1;
     for (const auto& key : chunks) {
         const ChunkRecord& record = staged.chunks.at(key);
         // The next pass takes it.
@@ -113,7 +115,7 @@
         add_chunk(unit, key, record, now);
         content[key] = &record.chunk;
     }
-    const std::size_t longest_name = node_.cluster_view.longest_name();
+    const std::size_t longest_name = workers_.cluster_view().longest_name();
     for (const auto& [key, chunk] : content) unit.bytes += json_bytes(key, *chunk, longest_name);
     add_page(unit, page, content, taken);
     return unit;
@@ -121,18 +123,18 @@
 
 void AttemptPageWriter::add_page(WriteUnit& unit, const core::AttemptPageKey& page,
                                  const PageContent& content, PageKeys& taken) const {
-    const std::size_t limit = node_.settings.value_limit();
+    const std::size_t limit = settings_.value_limit();
     if (unit.bytes <= limit || page_bytes(content) <= limit) {
         unit.effects.push_back({keys::page(page), wire::page_record(content), 0});
         return;
     }
-    const auto parts = split_page(content, limit, node_.settings.txn_ops);
+    const auto parts = split_page(content, limit, settings_.txn_ops);
     spdlog::info("event=page_split page={} bytes={} parts={}", keys::page(page), page_bytes(content),
                  parts.size());
     unit.effects.push_back({keys::page(page), wire::page_record(parts.front()), 0});
     core::AttemptPageKey fresh{page.first, 1};
     for (std::size_t i = 1; i < parts.size(); ++i) {
-        while (taken.contains(fresh) || node_.job_table.pages().contains(fresh)) ++fresh.second;
+        while (taken.contains(fresh) || replicated_.job_table().pages().contains(fresh)) ++fresh.second;
         taken.insert(fresh);
         unit.conditions.emplace_back(keys::page(fresh), 0);
         unit.effects.push_back({keys::page(fresh), wire::page_record(parts[i]), 0});
@@ -141,7 +143,7 @@
 
 void AttemptPageWriter::add_chunk(WriteUnit& unit, const core::ChunkKey& key, const ChunkRecord& record,
                                   Micros now) {
-    const core::JobEntry& entry = *node_.job_table.find(key.first);
+    const core::JobEntry& entry = *replicated_.job_table().find(key.first);
     const bool production = entry.job.priority == core::Priority::production;
     unit.rank = std::min(unit.rank, rank_of(key, record, production, now));
     if (!record.started.empty()) {
@@ -163,14 +165,14 @@
     if (record.urgent) return production ? WriteRank::production : WriteRank::urgent;
     if (waited <= kCompletionsWait) return WriteRank::completion;
     const bool overdue =
-        waited > kCompletionsWaitAtMost || near_limit(node_.job_table.find(key.first)->job.team);
+        waited > kCompletionsWaitAtMost || near_limit(replicated_.job_table().find(key.first)->job.team);
     return overdue ? WriteRank::overdue_completion : WriteRank::due_completion;
 }
 
 bool AttemptPageWriter::near_limit(const std::string& team) const {
-    const auto limits = node_.settings.teams.find(team);
-    if (limits == node_.settings.teams.end()) return false;
-    const core::Resources use = node_.job_table.team_use(team);
+    const auto limits = settings_.teams.find(team);
+    if (limits == settings_.teams.end()) return false;
+    const core::Resources use = replicated_.job_table().team_use(team);
     return use.cpus > limits->second.cpus_max * kNearLimit ||
            (use.gpus > 0 && use.gpus > limits->second.gpus_max * kNearLimit);
 }
--- a/src/scheduling/attempt_page_writer.hpp
+++ b/src/scheduling/attempt_page_writer.hpp
@@ -6,16 +6,21 @@
 #include <string>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "config/settings.hpp"
 #include "scheduling/attempt_page_split.hpp"
 #include "scheduling/staged_records.hpp"
 #include "scheduling/write_unit.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class AttemptPageWriter {
   public:
-    explicit AttemptPageWriter(const Node& node) : node_(node) {}
+    AttemptPageWriter(const Settings& settings, const ReplicatedState& replicated,
+                      const Leadership& leadership, const WorkerStatus& workers)
+        : settings_(settings), replicated_(replicated), leadership_(leadership), workers_(workers) {}
 
     // Most pressing first. Takes the records of finished jobs out of `staged`, and gives chunks their pages.
     // `now`: steady.
@@ -43,7 +48,10 @@
     // What the team's recorded attempts use leaves little of its limit.
     bool near_limit(const std::string& team) const;
 
-    const Node& node_;
+    const Settings& settings_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    const WorkerStatus& workers_;
     std::map<core::ChunkKey, io::Micros> waiting_since_;  // completions that wait for company; steady
 };
 
--- a/src/scheduling/attempt_reconciler.cpp
+++ b/src/scheduling/attempt_reconciler.cpp
@@ -48,20 +48,20 @@
 }
 
 bool AttemptReconciler::owns_a_team() const {
-    return std::any_of(node_.epoch.shard_owners.begin(), node_.epoch.shard_owners.end(),
-                       [&](const auto& owner) { return owner.second == node_.self.label; });
+    return std::any_of(replicated_.epoch().shard_owners.begin(), replicated_.epoch().shard_owners.end(),
+                       [&](const auto& owner) { return owner.second == leadership_.label(); });
 }
 
 AttemptReconciler::MachineState AttemptReconciler::look_at(const core::MachineView* view, Micros now) const {
     // Whatever its last report said of its tasks: when many machines fall silent at once nobody releases
     // them, and what ran on them has ended with their leases. One that reports has a lease.
-    const double quiet_s = std::max(kLeastQuietSeconds, node_.settings.report_s * kQuietReports);
+    const double quiet_s = std::max(kLeastQuietSeconds, settings_.report_s * kQuietReports);
     const bool quiet = view == nullptr || now - view->changed > core::from_seconds(quiet_s);
     return {view, quiet, now};
 }
 
 bool AttemptReconciler::leaving(const core::MachineView& view, const std::string& machine) const {
-    return view.notice_until || node_.draining.contains(machine);
+    return view.notice_until || replicated_.draining().contains(machine);
 }
 
 bool AttemptReconciler::still_unchanged(const ReconciledMachine* before, const ReconciledMachine& now,
@@ -74,11 +74,11 @@
 
 void AttemptReconciler::reconcile_machines(StagedRecords& staged) {
     const Micros time = steady_now();
-    const auto& recorded_machines = node_.job_table.by_machine();
+    const auto& recorded_machines = replicated_.job_table().by_machine();
     spare_reconciled_.clear();
     spare_reconciled_.reserve(recorded_machines.size());
-    auto view = node_.cluster_view.machines().begin();
-    const auto views_end = node_.cluster_view.machines().end();
+    auto view = workers_.cluster_view().machines().begin();
+    const auto views_end = workers_.cluster_view().machines().end();
     auto old = reconciled_.cbegin();
     // ClusterView, job table and the last pass are in the order of the machines' names.
     for (const auto& [id, recorded] : recorded_machines) {
@@ -108,7 +108,7 @@
         // One machine's tasks are in the order of their jobs.
         if (held.entry != last) {
             last = held.entry;
-            ours = node_.owns_shard(last->job.team) && !last->job.cancelled;
+            ours = leadership_.owns_shard(last->job.team) && !last->job.cancelled;
         }
         if (!ours) continue;
         const core::Attempt attempt{held.number, machine, held.incarnation};
@@ -118,11 +118,12 @@
 }
 
 void AttemptReconciler::reconcile_cancelled(StagedRecords& staged) {
-    for (const auto& [id, entry] : node_.job_table.jobs()) {
-        if (!entry.job.cancelled || entry.open == 0 || !node_.owns_shard(entry.job.team)) continue;
+    for (const auto& [id, entry] : replicated_.job_table().jobs()) {
+        if (!entry.job.cancelled || entry.open == 0 || !leadership_.owns_shard(entry.job.team)) continue;
         for (const auto& [index, chunk] : entry.chunks) {
             for (const auto& [task, attempt] : chunk.open) {
-                const MachineState state = look_at(node_.cluster_view.find(attempt.machine), steady_now());
+                const MachineState state =
+                    look_at(workers_.cluster_view().find(attempt.machine), steady_now());
                 settle_attempt(staged, {entry, task, attempt}, state);
             }
         }
@@ -130,8 +131,8 @@
 }
 
 void AttemptReconciler::find_finished(StagedRecords& staged) const {
-    for (const auto& [id, entry] : node_.job_table.jobs()) {
-        if (!node_.owns_shard(entry.job.team)) continue;
+    for (const auto& [id, entry] : replicated_.job_table().jobs()) {
+        if (!leadership_.owns_shard(entry.job.team)) continue;
         std::uint32_t done = entry.done;
         std::uint32_t open = entry.open;
         auto record = staged.chunks.lower_bound({id, 0});
@@ -149,10 +150,10 @@
     const core::Attempt& attempt = open.attempt;
     const auto view =
         state.view == nullptr
-            ? core::view_attempt(node_.cluster_view, open.job(), open.task, attempt)
+            ? core::view_attempt(workers_.cluster_view(), open.job(), open.task, attempt)
             : core::view_attempt(*state.view, open.job(), open.task, attempt.number, attempt.incarnation);
     const bool ended = view.status == AttemptStatus::exited || view.status == AttemptStatus::gone;
-    if (state.quiet && !ended && node_.lease_expired(attempt.machine, attempt.incarnation, io::wall_now())) {
+    if (state.quiet && !ended && leases_.is_expired(attempt.machine, attempt.incarnation, io::wall_now())) {
         spdlog::info("event=lease_expired job={} task={} machine={}", open.job(), open.task, attempt.machine);
         staged.close(open, false);
         return false;
@@ -188,7 +189,8 @@
         return;
     }
     // Not started, and nothing of it under way under any fencing token that the worker still takes.
-    if (!dispatch_.start_pending(open) && state.view->last_heartbeat.fencing_token >= node_.epoch.number) {
+    if (!dispatch_.start_pending(open) &&
+        state.view->last_heartbeat.fencing_token >= replicated_.epoch().number) {
         staged.close(open, false);
     } else {
         dispatch_.stop_unlisted(open, state.now);
@@ -203,7 +205,7 @@
     if (task == TaskState::saving) return false;
     if (state.view->notice_until) {
         save_before_notice(open, *state.view->notice_until - state.now, task);
-    } else if (node_.draining.contains(open.attempt.machine)) {
+    } else if (replicated_.draining().contains(open.attempt.machine)) {
         move_off(open, task);
     }
     return !leaving(*state.view, open.attempt.machine);
--- a/src/scheduling/attempt_reconciler.hpp
+++ b/src/scheduling/attempt_reconciler.hpp
@@ -5,18 +5,30 @@
 #include <string>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "config/settings.hpp"
 #include "scheduling/command_dispatcher.hpp"
 #include "scheduling/failure_backoff.hpp"
 #include "scheduling/open_attempt.hpp"
 #include "scheduling/staged_records.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/worker_leases.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class AttemptReconciler {
   public:
-    AttemptReconciler(Node& node, CommandDispatcher& dispatch, FailureBackoff& failures)
-        : node_(node), dispatch_(dispatch), failure_backoff_(failures) {}
+    AttemptReconciler(const Settings& settings, const ReplicatedState& replicated,
+                      const Leadership& leadership, const WorkerStatus& workers, WorkerLeases& leases,
+                      CommandDispatcher& dispatch, FailureBackoff& failure_backoff)
+        : settings_(settings),
+          replicated_(replicated),
+          leadership_(leadership),
+          workers_(workers),
+          leases_(leases),
+          dispatch_(dispatch),
+          failure_backoff_(failure_backoff) {}
 
     // Stages the ends of this shard owner's attempts, and its jobs that are over with them.
     void reconcile(StagedRecords& staged);
@@ -59,7 +71,11 @@
     void save_before_notice(const OpenAttempt& open, io::Micros time_left, core::TaskState task);
     void move_off(const OpenAttempt& open, core::TaskState task);
 
-    Node& node_;
+    const Settings& settings_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    const WorkerStatus& workers_;
+    WorkerLeases& leases_;
     CommandDispatcher& dispatch_;
     FailureBackoff& failure_backoff_;
     // In order: most are as they were, and looking at every attempt in every pass took half of a node's time.
--- a/src/scheduling/cancellation_enforcer.cpp
+++ b/src/scheduling/cancellation_enforcer.cpp
@@ -25,18 +25,18 @@
 }  // namespace
 
 Micros CancellationEnforcer::share_of_limit(double share) const {
-    return Micros{static_cast<std::int64_t>(node_.settings.cancel_s * share * 1e6)};
+    return Micros{static_cast<std::int64_t>(settings_.cancel_s * share * 1e6)};
 }
 
 std::vector<CancellationEnforcer::Remaining> CancellationEnforcer::remaining() const {
     std::vector<Remaining> tasks;
     const Micros wall_clock_now = io::wall_now();
-    for (const auto& [id, entry] : node_.job_table.jobs()) {
+    for (const auto& [id, entry] : replicated_.job_table().jobs()) {
         if (!entry.job.cancelled || entry.open == 0) continue;
-        const bool owned = node_.holds_leadership() && node_.owns_shard(entry.job.team);
+        const bool owned = leadership_.holds_leadership() && leadership_.owns_shard(entry.job.team);
         for (const auto& [index, chunk] : entry.chunks) {
             for (const auto& [task, attempt] : chunk.open) {
-                const auto view = core::view_attempt(node_.cluster_view, id, task, attempt);
+                const auto view = core::view_attempt(workers_.cluster_view(), id, task, attempt);
                 if (view.status == AttemptStatus::exited || view.status == AttemptStatus::gone) continue;
                 tasks.push_back(
                     {{id, task}, attempt, view.status, wall_clock_now - entry.job.cancelled_at, owned});
@@ -47,7 +47,7 @@
 }
 
 void CancellationEnforcer::stop_listed(const std::vector<Remaining>& tasks) {
-    if (!node_.holds_leadership()) return;
+    if (!leadership_.holds_leadership()) return;
     const Micros now = steady_now();
     std::erase_if(stopped_at_, [&](const auto& stop) { return now - stop.second > kRepeatStop; });
     for (const auto& [ref, attempt, status, cancelled_for, owned_here] : tasks) {
@@ -55,8 +55,8 @@
         if (!stopped_at_.emplace(ref, now).second) continue;
         spdlog::debug("event=cancelled_task_stopped job={} task={} machine={}", ref.job, ref.task,
                       attempt.machine);
-        workers_.enqueue(attempt.machine, attempt.incarnation,
-                         {core::CommandKind::stop, ref.job, ref.task, attempt.number, 0});
+        commands_.enqueue(attempt.machine, attempt.incarnation,
+                          {core::CommandKind::stop, ref.job, ref.task, attempt.number, 0});
     }
 }
 
@@ -65,11 +65,11 @@
     for (const auto& [ref, attempt, status, cancelled_for, owned_here] : tasks) {
         // An old view of the machine is no reason to give it back: asking it brings a new one.
         if (cancelled_for > share_of_limit(kAskMachineShare) &&
-            node_.cluster_view.find(attempt.machine) != nullptr) {
-            node_.probes.try_emplace(attempt.machine);
+            workers_.cluster_view().find(attempt.machine) != nullptr) {
+            probes_.request(attempt.machine);
         }
         // A task that its machine does not list may just not have started: its owner is at it for longer.
-        const bool first = node_.is_cluster_leader() && status != AttemptStatus::unlisted;
+        const bool first = leadership_.is_cluster_leader() && status != AttemptStatus::unlisted;
         if (cancelled_for > share_of_limit(first ? kLeaderReleasesShare : kAnyoneReleasesShare)) {
             machines.push_back(attempt.machine);
         }
@@ -82,14 +82,14 @@
 
 Task<void> CancellationEnforcer::run() {
     while (true) {
-        co_await node_.loop.sleep(kInterval);
-        if (!node_.replica_loaded) continue;
+        co_await loop_.sleep(kInterval);
+        if (!replicated_.is_loaded()) continue;
         const std::vector<Remaining> tasks = remaining();
         stop_listed(tasks);
         std::vector<std::string> machines = overdue_machines(tasks);
         if (machines.empty()) continue;
         spdlog::info("event=cancellation_overdue machines={} leads={}", machines.size(),
-                     node_.is_cluster_leader());
+                     leadership_.is_cluster_leader());
         auto release = scaling_.release(std::move(machines));
         co_await std::move(release);
     }
--- a/src/scheduling/cancellation_enforcer.hpp
+++ b/src/scheduling/cancellation_enforcer.hpp
@@ -10,16 +10,30 @@
 #include <string>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "config/settings.hpp"
+#include "io/loop.hpp"
 #include "scaling/scaling_controller.hpp"
-#include "workers/worker_gateway.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/command_sender.hpp"
+#include "workers/reachability_probes.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class CancellationEnforcer {
   public:
-    CancellationEnforcer(Node& node, WorkerGateway& workers, ScalingController& leader)
-        : node_(node), workers_(workers), scaling_(leader) {}
+    CancellationEnforcer(io::Loop& loop, const Settings& settings, const ReplicatedState& replicated,
+                         const Leadership& leadership, const WorkerStatus& workers,
+                         ReachabilityProbes& probes, CommandSender& commands, ScalingController& scaling)
+        : loop_(loop),
+          settings_(settings),
+          replicated_(replicated),
+          leadership_(leadership),
+          workers_(workers),
+          probes_(probes),
+          commands_(commands),
+          scaling_(scaling) {}
     // Runs for as long as the node lives.
     io::Task<void> run();
 
@@ -38,8 +52,13 @@
     std::vector<std::string> overdue_machines(const std::vector<Remaining>& tasks);
     io::Micros share_of_limit(double share) const;
 
-    Node& node_;
-    WorkerGateway& workers_;
+    io::Loop& loop_;
+    const Settings& settings_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    const WorkerStatus& workers_;
+    ReachabilityProbes& probes_;
+    CommandSender& commands_;
     ScalingController& scaling_;
     std::map<core::TaskRef, io::Micros> stopped_at_;  // steady: when this node last stopped a task of others
 };
--- a/src/scheduling/command_dispatcher.cpp
+++ b/src/scheduling/command_dispatcher.cpp
@@ -23,19 +23,19 @@
 }
 
 void CommandDispatcher::order(CommandKind kind, const OpenAttempt& open, double grace_s) {
-    workers_.enqueue(open.attempt.machine, open.attempt.incarnation,
-                     {kind, open.job(), open.task, open.attempt.number, grace_s});
+    commands_.enqueue(open.attempt.machine, open.attempt.incarnation,
+                      {kind, open.job(), open.task, open.attempt.number, grace_s});
 }
 
 bool CommandDispatcher::start_pending(const OpenAttempt& open) const {
-    return workers_.start_pending(open.job(), open.task, open.attempt.number);
+    return commands_.start_pending(open.job(), open.task, open.attempt.number);
 }
 
 void CommandDispatcher::start_recorded(const TaskAttempt& started) {
     const core::Attempt& attempt = started.attempt;
     sent_[{started.job, started.task}] = SentCommands{attempt.number, steady_now(), Micros{0}};
-    workers_.enqueue(attempt.machine, attempt.incarnation,
-                     {CommandKind::start, started.job, started.task, attempt.number, 0});
+    commands_.enqueue(attempt.machine, attempt.incarnation,
+                      {CommandKind::start, started.job, started.task, attempt.number, 0});
 }
 
 void CommandDispatcher::repeat_start(const OpenAttempt& open, Micros now) {
@@ -64,19 +64,19 @@
 }
 
 void CommandDispatcher::preempt(const core::Stop& stop) {
-    workers_.enqueue(stop.attempt.machine, stop.attempt.incarnation,
-                     {CommandKind::stop, stop.job, stop.task, stop.attempt.number, stop.grace_s});
+    commands_.enqueue(stop.attempt.machine, stop.attempt.incarnation,
+                      {CommandKind::stop, stop.job, stop.task, stop.attempt.number, stop.grace_s});
 }
 
 // The end is committed. The exited attempt leaves the worker's list once no copy of its start can arrive.
 void CommandDispatcher::acknowledge_exits() {
     std::erase_if(exits_to_acknowledge_, [&](const TaskAttempt& closed) {
         const core::Attempt& attempt = closed.attempt;
-        if (workers_.start_pending(closed.job, closed.task, attempt.number)) return false;
-        const auto view = core::view_attempt(node_.cluster_view, closed.job, closed.task, attempt);
+        if (commands_.start_pending(closed.job, closed.task, attempt.number)) return false;
+        const auto view = core::view_attempt(workers_.cluster_view(), closed.job, closed.task, attempt);
         if (view.status == AttemptStatus::exited) {
-            workers_.enqueue(attempt.machine, attempt.incarnation,
-                             {CommandKind::acknowledge_exit, closed.job, closed.task, attempt.number, 0});
+            commands_.enqueue(attempt.machine, attempt.incarnation,
+                              {CommandKind::acknowledge_exit, closed.job, closed.task, attempt.number, 0});
         }
         return true;
     });
@@ -89,29 +89,31 @@
     if (now - last_orphan_check_ < kOrphanCheckInterval) return false;
     last_orphan_check_ = now;
     OrphanTasks seen;
-    for (const auto& [machine, view] : node_.cluster_view.machines()) {
-        if (view.last_heartbeat.fencing_token >= node_.epoch.number) stop_orphans(machine, view, now, seen);
+    for (const auto& [machine, view] : workers_.cluster_view().machines()) {
+        if (view.last_heartbeat.fencing_token >= replicated_.epoch().number)
+            stop_orphans(machine, view, now, seen);
     }
     orphans_ = std::move(seen);
     std::erase_if(sent_, [&](const auto& sent) {
-        return node_.job_table.open_attempt(sent.first.job, sent.first.task) == nullptr;
+        return replicated_.job_table().open_attempt(sent.first.job, sent.first.task) == nullptr;
     });
     return true;
 }
 
 bool CommandDispatcher::is_orphan(const std::string& machine, const core::TaskStatus& listed) const {
-    const core::JobEntry* entry = node_.job_table.find(listed.job);
-    const bool ours = entry != nullptr ? node_.owns_shard(entry->job.team) : node_.is_cluster_leader();
+    const core::JobEntry* entry = replicated_.job_table().find(listed.job);
+    const bool ours =
+        entry != nullptr ? leadership_.owns_shard(entry->job.team) : leadership_.is_cluster_leader();
     if (!ours) return false;
-    const core::Attempt* open = node_.job_table.open_attempt(listed.job, listed.task);
+    const core::Attempt* open = replicated_.job_table().open_attempt(listed.job, listed.task);
     if (open != nullptr && open->number == listed.attempt && open->machine == machine) return false;
-    return !workers_.start_pending(listed.job, listed.task, listed.attempt);
+    return !commands_.start_pending(listed.job, listed.task, listed.attempt);
 }
 
 void CommandDispatcher::stop_orphans(const std::string& machine, const core::MachineView& view, Micros now,
                                      OrphanTasks& seen) {
     // A silent machine's last report may list what its lease has ended since.
-    const bool heard = now - view.changed < node_.stale_heartbeat_threshold();
+    const bool heard = now - view.changed < workers_.stale_heartbeat_threshold();
     for (const auto& listed : view.last_heartbeat.tasks) {
         if (!is_orphan(machine, listed)) continue;
         stop_orphan({machine, listed.job, listed.task, listed.attempt}, view, listed.state, heard, seen);
@@ -123,18 +125,18 @@
     const auto before = orphans_.find(orphan);
     // Nobody else has sent starts of this node's tasks under this epoch, and those of earlier ones are void.
     // Of a job that is over the shard shard owner's may be under way: only when first seen before this epoch.
-    const std::uint64_t first = before == orphans_.end() ? node_.epoch.number : before->second;
+    const std::uint64_t first = before == orphans_.end() ? replicated_.epoch().number : before->second;
     seen[orphan] = first;
     if (state == TaskState::exited) {
-        const bool own = node_.job_table.find(orphan.job) != nullptr;
-        if (!own && first >= node_.epoch.number) return;
-        workers_.enqueue(orphan.machine, view.last_heartbeat.incarnation,
-                         {CommandKind::acknowledge_exit, orphan.job, orphan.task, orphan.attempt, 0});
+        const bool own = replicated_.job_table().find(orphan.job) != nullptr;
+        if (!own && first >= replicated_.epoch().number) return;
+        commands_.enqueue(orphan.machine, view.last_heartbeat.incarnation,
+                          {CommandKind::acknowledge_exit, orphan.job, orphan.task, orphan.attempt, 0});
     } else if (before != orphans_.end() && heard) {
         spdlog::warn("event=orphan_task_stopped job={} task={} attempt={} machine={}", orphan.job,
                      orphan.task, orphan.attempt, orphan.machine);
-        workers_.enqueue(orphan.machine, view.last_heartbeat.incarnation,
-                         {CommandKind::stop, orphan.job, orphan.task, orphan.attempt, 0});
+        commands_.enqueue(orphan.machine, view.last_heartbeat.incarnation,
+                          {CommandKind::stop, orphan.job, orphan.task, orphan.attempt, 0});
     }
 }
 
--- a/src/scheduling/command_dispatcher.hpp
+++ b/src/scheduling/command_dispatcher.hpp
@@ -6,9 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
 #include "scheduling/open_attempt.hpp"
-#include "workers/worker_gateway.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/command_sender.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
@@ -16,7 +18,9 @@
 
 class CommandDispatcher {
   public:
-    CommandDispatcher(Node& node, WorkerGateway& workers) : node_(node), workers_(workers) {}
+    CommandDispatcher(const ReplicatedState& replicated, const Leadership& leadership,
+                      const WorkerStatus& workers, CommandSender& commands)
+        : replicated_(replicated), leadership_(leadership), workers_(workers), commands_(commands) {}
 
     // The start is recorded, so it may be sent.
     void start_recorded(const TaskAttempt& started);
@@ -63,8 +67,10 @@
     void stop_orphan(const ReportedAttempt& orphan, const core::MachineView& view, core::TaskState state,
                      bool heard, OrphanTasks& seen);
 
-    Node& node_;
-    WorkerGateway& workers_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    const WorkerStatus& workers_;
+    CommandSender& commands_;
     std::map<core::TaskRef, SentCommands> sent_;
     std::vector<TaskAttempt> exits_to_acknowledge_;
     OrphanTasks orphans_;
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "store/store_keys.hpp"
+
 namespace hatchwind::controller {
 
 using io::Micros;
@@ -28,9 +30,9 @@
 }  // namespace
 
 bool DependencyReconciler::acts_for(const core::Job& job) const {
-    const auto owner = node_.epoch.shard_owners.find(job.team_once_released);
-    return owner == node_.epoch.shard_owners.end() ? node_.is_cluster_leader()
-                                                   : owner->second == node_.self.label;
+    const auto owner = replicated_.epoch().shard_owners.find(job.team_once_released);
+    return owner == replicated_.epoch().shard_owners.end() ? leadership_.is_cluster_leader()
+                                                           : owner->second == leadership_.label();
 }
 
 DependencyReconciler::Step DependencyReconciler::release(const core::JobEntry& entry) const {
@@ -59,14 +61,14 @@
 
 wire::Transaction DependencyReconciler::next_group(const std::vector<Step>& steps, std::size_t& next) const {
     wire::Transaction t;
-    t.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
+    t.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
     const std::size_t first = next;
     std::size_t bytes = 0;
     for (; next < steps.size(); ++next) {
         const Step& step = steps[next];
         const std::size_t writes = step.effects.size() + (step.final_state ? 1 : 0);
         bytes += step.bytes;
-        const bool full = t.writes.size() + writes > node_.settings.txn_ops || bytes > kTransactionBytes;
+        const bool full = t.writes.size() + writes > settings_.txn_ops || bytes > kTransactionBytes;
         if (full && next != first) break;
         t.conditions.emplace_back(keys::job(step.job), step.mod_revision);
         for (const auto& effect : step.effects) t.writes.push_back({effect.key, effect.value, 0});
@@ -78,13 +80,13 @@
 }
 
 void DependencyReconciler::carried_out(Step& step, core::Revision revision) {
-    if (const core::JobEntry* entry = node_.job_table.find(step.job)) {
+    if (const core::JobEntry* entry = replicated_.job_table().find(step.job)) {
         const Micros waited = io::wall_now() - entry->job.accepted;
         spdlog::debug("event={} job={} class={} waited_ms={}",
                       step.final_state ? "waiting_job_cancelled" : "waiting_job_released", step.job,
                       entry->job.job_class, waited.count() / kMicrosPerMilli);
     }
-    replica_.committed(step.effects, revision);
+    replica_.apply_own_commit(step.effects, revision);
     if (step.final_state) final_states_.note(step.job, *step.final_state);
 }
 
@@ -94,8 +96,8 @@
         const std::size_t first = next;
         wire::Transaction t = next_group(steps, next);
         const auto conditions = t.conditions;
-        auto task = node_.state.commit(std::move(t), steady_now() + kCommitDeadline,
-                                       CommitPriority{urgency == Urgency::release, std::nullopt});
+        auto task = store_.commit(std::move(t), steady_now() + kCommitDeadline,
+                                  CommitPriority{urgency == Urgency::release, std::nullopt});
         const CommitResult r = co_await std::move(task);
         if (r.outcome == CommitOutcome::conflict) {
             // Written by somebody else, by an earlier copy of this transaction, or cancelled meanwhile.
@@ -106,8 +108,8 @@
         // the conditions leave only one of them.
         if (r.outcome != CommitOutcome::committed) co_return false;
         for (std::size_t i = first; i < next; ++i) carried_out(steps[i], r.revision);
-        node_.scheduling_needed.notify_all();
-        node_.scaling_needed.notify_all();
+        signals_.scheduling_needed.notify_all();
+        signals_.scaling_needed.notify_all();
     }
     co_return true;
 }
@@ -123,13 +125,13 @@
 Task<bool> DependencyReconciler::reconcile() {
     const Micros began = steady_now();
     const auto plan = core::plan_dependencies(
-        node_.job_table, [this](const std::string& job) { return final_states_.ending(job); },
+        replicated_.job_table(), [this](const std::string& job) { return final_states_.ending(job); },
         [this](const core::Job& job) { return acts_for(job); });
     planning_took_ = steady_now() - began;
     std::vector<Step> releases;
-    for (const auto& id : plan.release) releases.push_back(release(*node_.job_table.find(id)));
+    for (const auto& id : plan.release) releases.push_back(release(*replicated_.job_table().find(id)));
     std::vector<Step> cancellations;
-    for (const auto& id : plan.cancel) cancellations.push_back(cancel(*node_.job_table.find(id)));
+    for (const auto& id : plan.cancel) cancellations.push_back(cancel(*replicated_.job_table().find(id)));
     if (!releases.empty() || !cancellations.empty())
         spdlog::debug("event=dependencies releases={} cancels={} unknown={}", releases.size(),
                       cancellations.size(), plan.unknown_terminal_states.size());
@@ -146,20 +148,20 @@
         for (const auto& id : plan.unknown_terminal_states) news = news || final_states_.known(id) != nullptr;
     }
     if (ok && !cancellations.empty()) {
-        const double spare = std::max(0.0, node_.state.spare_writes());
-        const auto affordable = static_cast<std::size_t>(spare) / node_.settings.txn_ops;
+        const double spare = std::max(0.0, store_.spare_writes());
+        const auto affordable = static_cast<std::size_t>(spare) / settings_.txn_ops;
         const std::size_t groups = std::clamp(affordable, kLeastCancelGroups, kMostCancelGroups);
         auto task = commit(std::move(cancellations), groups, Urgency::cancel);
         ok = co_await std::move(task);
     }
-    if (!ok) co_await node_.loop.sleep(kAfterFailure);
+    if (!ok) co_await loop_.sleep(kAfterFailure);
     co_return news;
 }
 
 std::vector<std::string> DependencyReconciler::jobs_with_old_lists() const {
     std::vector<std::string> jobs;
-    for (const auto& [job, parts] : node_.job_table.dependency_parts()) {
-        const core::JobEntry* entry = node_.job_table.find(job);
+    for (const auto& [job, parts] : replicated_.job_table().dependency_parts()) {
+        const core::JobEntry* entry = replicated_.job_table().find(job);
         if (entry == nullptr || !entry->job.waiting()) jobs.push_back(job);
     }
     return jobs;
@@ -170,41 +172,42 @@
     if (unknown.empty()) co_return;
     // The list of a submission that is being taken is written before the job: without a record of the job
     // only its final state tells that the list has served.
-    std::erase_if(unknown, [&](const std::string& id) { return node_.job_table.find(id) != nullptr; });
+    std::erase_if(unknown,
+                  [&](const std::string& id) { return replicated_.job_table().find(id) != nullptr; });
     auto reading = read_terminal_states(unknown);
     const bool read = co_await std::move(reading);
     if (!read) co_return;
     wire::Transaction t;
     std::vector<wire::StoreItem> effects;
-    t.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
+    t.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
     for (const auto& job : jobs_with_old_lists()) {
-        if (node_.job_table.find(job) == nullptr && final_states_.known(job) == nullptr) continue;
-        for (const auto& [part, ids] : node_.job_table.dependency_parts().at(job)) {
-            if (t.writes.size() >= node_.settings.txn_ops) break;
+        if (replicated_.job_table().find(job) == nullptr && final_states_.known(job) == nullptr) continue;
+        for (const auto& [part, ids] : replicated_.job_table().dependency_parts().at(job)) {
+            if (t.writes.size() >= settings_.txn_ops) break;
             const std::string key = keys::dependency_part(job, part.first, part.second);
             t.writes.push_back({key, std::nullopt, 0});
             effects.push_back({key, std::nullopt, 0});
         }
     }
     if (effects.empty()) co_return;
-    auto task = node_.state.commit(std::move(t), steady_now() + kCommitDeadline);
+    auto task = store_.commit(std::move(t), steady_now() + kCommitDeadline);
     const CommitResult r = co_await std::move(task);
     if (r.outcome != CommitOutcome::committed) co_return;
-    replica_.committed(effects, r.revision);
+    replica_.apply_own_commit(effects, r.revision);
 }
 
 Task<void> DependencyReconciler::run() {
     bool again = false;
     while (true) {
-        if (!std::exchange(again, false)) co_await node_.replica_advanced.wait(steady_now() + kInterval);
+        if (!std::exchange(again, false)) co_await signals_.replica_advanced.wait(steady_now() + kInterval);
         // A pass that takes long on this machine leaves most of the time to others.
-        co_await node_.loop.sleep(std::max(kGap, 9 * planning_took_));
-        if (!node_.holds_leadership() || !node_.state.reachable(steady_now())) continue;
-        if (!node_.job_table.waiting().empty()) {
+        co_await loop_.sleep(std::max(kGap, 9 * planning_took_));
+        if (!leadership_.holds_leadership() || !store_.reachable(steady_now())) continue;
+        if (!replicated_.job_table().waiting().empty()) {
             auto pass = reconcile();
             again = co_await std::move(pass);
         }
-        if (!node_.is_cluster_leader() || steady_now() - last_removal_ < kRemoveListsEvery) continue;
+        if (!leadership_.is_cluster_leader() || steady_now() - last_removal_ < kRemoveListsEvery) continue;
         last_removal_ = steady_now();
         auto removal = remove_lists();
         co_await std::move(removal);
--- a/src/scheduling/dependency_reconciler.hpp
+++ b/src/scheduling/dependency_reconciler.hpp
@@ -3,16 +3,30 @@
 // written, so whoever owns a team next carries on, and every step may be repeated.
 #pragma once
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "config/settings.hpp"
+#include "io/loop.hpp"
+#include "store/change_signals.hpp"
 #include "store/final_state_reader.hpp"
 #include "store/replica.hpp"
+#include "store/replicated_state.hpp"
+#include "store/store_client.hpp"
 
 namespace hatchwind::controller {
 
 class DependencyReconciler {
   public:
-    DependencyReconciler(Node& node, Replica& replica, FinalStateReader& final_states)
-        : node_(node), replica_(replica), final_states_(final_states) {}
+    DependencyReconciler(io::Loop& loop, const Settings& settings, const ReplicatedState& replicated,
+                         const Leadership& leadership, StoreClient& store, Replica& replica,
+                         ChangeSignals& signals, FinalStateReader& final_states)
+        : loop_(loop),
+          settings_(settings),
+          replicated_(replicated),
+          leadership_(leadership),
+          store_(store),
+          replica_(replica),
+          signals_(signals),
+          final_states_(final_states) {}
     io::Task<void> run();
 
   private:
@@ -43,8 +57,13 @@
     io::Task<void> remove_lists();
     std::vector<std::string> jobs_with_old_lists() const;
 
-    Node& node_;
+    io::Loop& loop_;
+    const Settings& settings_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    StoreClient& store_;
     Replica& replica_;
+    ChangeSignals& signals_;
     FinalStateReader& final_states_;
     io::Micros planning_took_{0};  // in the last pass
     io::Micros last_removal_{0};
--- a/src/scheduling/failure_backoff.cpp
+++ b/src/scheduling/failure_backoff.cpp
@@ -77,9 +77,10 @@
 }
 
 void FailureBackoff::forget_gone() {
-    std::erase_if(jobs_, [&](const auto& job) { return node_.job_table.find(job.first) == nullptr; });
-    std::erase_if(machines_,
-                  [&](const auto& machine) { return node_.cluster_view.find(machine.first) == nullptr; });
+    std::erase_if(jobs_, [&](const auto& job) { return replicated_.job_table().find(job.first) == nullptr; });
+    std::erase_if(machines_, [&](const auto& machine) {
+        return workers_.cluster_view().find(machine.first) == nullptr;
+    });
 }
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/failure_backoff.hpp
+++ b/src/scheduling/failure_backoff.hpp
@@ -5,14 +5,16 @@
 #include <set>
 #include <string>
 
-#include "cluster/node.hpp"
 #include "scheduling/open_attempt.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
 class FailureBackoff {
   public:
-    explicit FailureBackoff(const Node& node) : node_(node) {}
+    FailureBackoff(const ReplicatedState& replicated, const WorkerStatus& workers)
+        : replicated_(replicated), workers_(workers) {}
 
     void record_exit(const OpenAttempt& open, core::ExitCause cause);
     // Until when each job's tasks are not tried; steady.
@@ -30,7 +32,8 @@
     };
     void record_error(const OpenAttempt& open, BackoffState& machine, io::Micros now);
 
-    const Node& node_;
+    const ReplicatedState& replicated_;
+    const WorkerStatus& workers_;
     std::map<std::string, BackoffState> machines_;
     std::map<std::string, BackoffState> jobs_;
 };
--- a/src/scheduling/group_commit.cpp
+++ b/src/scheduling/group_commit.cpp
@@ -6,6 +6,8 @@
 #include <iterator>
 #include <utility>
 
+#include "store/store_keys.hpp"
+
 namespace hatchwind::controller {
 
 using io::Micros;
@@ -27,7 +29,7 @@
 }  // namespace
 
 std::size_t GroupCommit::fitting(std::span<const WriteUnit> units) const {
-    const std::size_t most_writes = node_.settings.txn_ops;
+    const std::size_t most_writes = settings_.txn_ops;
     const std::size_t most_conditions = kConditionsPerWrite * most_writes;
     std::size_t writes = 0;
     std::size_t conditions = 1;  // the epoch's
@@ -47,7 +49,7 @@
 
 wire::Transaction GroupCommit::transaction(std::span<const WriteUnit> units) const {
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
+    transaction.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
     for (const WriteUnit& unit : units) {
         transaction.conditions.insert(transaction.conditions.end(), unit.conditions.begin(),
                                       unit.conditions.end());
@@ -86,7 +88,7 @@
 
 bool GroupCommit::in_doubt() {
     // No copy of a transaction of an earlier epoch can be carried out any more.
-    if (in_doubt_ && in_doubt_->epoch() != node_.epoch.mod_revision) in_doubt_.reset();
+    if (in_doubt_ && in_doubt_->epoch() != replicated_.epoch().mod_revision) in_doubt_.reset();
     return in_doubt_.has_value();
 }
 
@@ -107,7 +109,7 @@
 Task<bool> GroupCommit::send(Group group) {
     const bool sent_before = in_doubt_.has_value();
     const CommitPriority priority{false, group.pressing_writes()};
-    auto task = node_.state.commit(group.transaction, steady_now() + kCommitTime, priority);
+    auto task = store_.commit(group.transaction, steady_now() + kCommitTime, priority);
     const CommitResult result = co_await std::move(task);
     if (result.outcome == CommitOutcome::committed) {
         in_doubt_.reset();
@@ -132,17 +134,17 @@
     // copy (UserAnswers.ALateGroupCommitOfTheSameOwnerRecordsNothing).
     if (result.outcome == CommitOutcome::unknown ||
         (sent_before && result.outcome == CommitOutcome::unavailable)) {
-        if (group.epoch() == node_.epoch.mod_revision) in_doubt_ = std::move(group);
+        if (group.epoch() == replicated_.epoch().mod_revision) in_doubt_ = std::move(group);
     } else {
         in_doubt_.reset();
     }
-    co_await node_.loop.sleep(result.outcome == CommitOutcome::unknown ? kUnknownPause : kRefusedPause);
+    co_await loop_.sleep(result.outcome == CommitOutcome::unknown ? kUnknownPause : kRefusedPause);
     co_return false;
 }
 
 // Before the record leaves the replica.
 void GroupCommit::log_end(const std::string& job) const {
-    const core::JobEntry* entry = node_.job_table.find(job);
+    const core::JobEntry* entry = replicated_.job_table().find(job);
     if (entry == nullptr) return;
     const Micros took = io::wall_now() - entry->job.accepted;
     spdlog::debug("event=job_ended job={} class={} tasks={} cancelled={} took_ms={}", job,
@@ -157,18 +159,18 @@
 
 void GroupCommit::committed(WriteUnit& unit, core::Revision revision, core::Revision epoch) {
     for (const auto& [job, state] : unit.ends) log_end(job);
-    replica_.committed(unit.effects, revision);
+    replica_.apply_own_commit(unit.effects, revision);
     for (const auto& [job, state] : unit.ends) replica_.final_states().insert(job, state);
     // Jobs that need these are released without waiting for the watch.
-    if (!unit.ends.empty()) node_.replica_advanced.notify_all();
+    if (!unit.ends.empty()) signals_.replica_advanced.notify_all();
     pages_.written(unit.chunks);
     for (auto& closed : unit.closed) dispatch_.end_recorded(std::move(closed));
     // Recorded, so it may start; if this node is the shard owner no more, its order is void.
-    if (!node_.holds_leadership() || epoch != node_.epoch.mod_revision) return;
+    if (!leadership_.holds_leadership() || epoch != replicated_.epoch().mod_revision) return;
     for (const auto& started : unit.started) {
         // The answer may come long after the record, and a confirmed cancel in between
         // (UserAnswers.ACancelConfirmedBeforeTheStartsRecordIsAnsweredStartsNothing).
-        const core::JobEntry* entry = node_.job_table.find(started.job);
+        const core::JobEntry* entry = replicated_.job_table().find(started.job);
         if (entry != nullptr && !entry->job.cancelled) dispatch_.start_recorded(started);
     }
 }
@@ -176,33 +178,34 @@
 void GroupCommit::acknowledge_recorded_exits(const Group& group) {
     for (const WriteUnit& unit : group.units) {
         for (const auto& closed : unit.closed) {
-            const core::Attempt* open = node_.job_table.open_attempt(closed.job, closed.task);
+            const core::Attempt* open = replicated_.job_table().open_attempt(closed.job, closed.task);
             if (open == nullptr || open->number != closed.attempt.number) dispatch_.end_recorded(closed);
         }
     }
 }
 
 bool GroupCommit::unused(const core::AttemptPage& page) const {
-    return std::none_of(page.chunks.begin(), page.chunks.end(),
-                        [&](const auto& chunk) { return node_.job_table.find(chunk.first) != nullptr; });
+    return std::none_of(page.chunks.begin(), page.chunks.end(), [&](const auto& chunk) {
+        return replicated_.job_table().find(chunk.first) != nullptr;
+    });
 }
 
 Task<void> GroupCommit::erase_unused_pages() {
     wire::Transaction transaction;
     std::vector<wire::StoreItem> effects;
-    transaction.conditions.emplace_back(keys::kEpoch, node_.epoch.mod_revision);
-    for (const auto& [key, page] : node_.job_table.pages()) {
-        if (transaction.writes.size() >= std::min(kErasedTogether, node_.settings.txn_ops)) break;
-        if (!node_.owns_shard(key.first) || !unused(page)) continue;
+    transaction.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
+    for (const auto& [key, page] : replicated_.job_table().pages()) {
+        if (transaction.writes.size() >= std::min(kErasedTogether, settings_.txn_ops)) break;
+        if (!leadership_.owns_shard(key.first) || !unused(page)) continue;
         transaction.conditions.emplace_back(keys::page(key), page.mod_revision);
         transaction.writes.push_back({keys::page(key), std::nullopt, 0});
         effects.push_back({keys::page(key), std::nullopt, 0});
     }
     if (effects.empty()) co_return;
-    auto task = node_.state.commit(std::move(transaction), steady_now() + kEraseTime);
+    auto task = store_.commit(std::move(transaction), steady_now() + kEraseTime);
     const CommitResult result = co_await std::move(task);
     if (result.outcome != CommitOutcome::committed) co_return;
-    replica_.committed(effects, result.revision);
+    replica_.apply_own_commit(effects, result.revision);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/group_commit.hpp
+++ b/src/scheduling/group_commit.hpp
@@ -7,18 +7,33 @@
 #include <span>
 #include <vector>
 
-#include "cluster/node.hpp"
+#include "cluster/leadership.hpp"
+#include "config/settings.hpp"
+#include "io/loop.hpp"
 #include "scheduling/attempt_page_writer.hpp"
 #include "scheduling/command_dispatcher.hpp"
 #include "scheduling/write_unit.hpp"
+#include "store/change_signals.hpp"
 #include "store/replica.hpp"
+#include "store/replicated_state.hpp"
+#include "store/store_client.hpp"
 
 namespace hatchwind::controller {
 
 class GroupCommit {
   public:
-    GroupCommit(Node& node, Replica& replica, AttemptPageWriter& pages, CommandDispatcher& dispatch)
-        : node_(node), replica_(replica), pages_(pages), dispatch_(dispatch) {}
+    GroupCommit(io::Loop& loop, const Settings& settings, const ReplicatedState& replicated,
+                const Leadership& leadership, StoreClient& store, Replica& replica, ChangeSignals& signals,
+                AttemptPageWriter& pages, CommandDispatcher& dispatch)
+        : loop_(loop),
+          settings_(settings),
+          replicated_(replicated),
+          leadership_(leadership),
+          store_(store),
+          replica_(replica),
+          signals_(signals),
+          pages_(pages),
+          dispatch_(dispatch) {}
 
     // False when the pass must begin anew.
     io::Task<bool> write(std::vector<WriteUnit> units);
@@ -53,8 +68,13 @@
     void log_end(const std::string& job) const;
     bool unused(const core::AttemptPage& page) const;
 
-    Node& node_;
+    io::Loop& loop_;
+    const Settings& settings_;
+    const ReplicatedState& replicated_;
+    const Leadership& leadership_;
+    StoreClient& store_;
     Replica& replica_;
+    ChangeSignals& signals_;
     AttemptPageWriter& pages_;
     CommandDispatcher& dispatch_;
     std::optional<Group> in_doubt_;
--- a/src/scheduling/page_assignment.cpp
+++ b/src/scheduling/page_assignment.cpp
@@ -29,24 +29,26 @@
   public:
     using Pages = std::map<core::AttemptPageKey, std::vector<core::ChunkKey>>;
 
-    PageAssignment(const Node& node, const std::set<std::string>& ending)
-        : node_(node), capacity_(page_bytes(node.settings)), longest_name_(node.cluster_view.longest_name()) {
-        for (const auto& [key, page] : node.job_table.pages()) {
-            if (node.owns_shard(key.first)) load_[key] = load_of(page, ending);
+    PageAssignment(const PageAssignmentInput& input, const std::set<std::string>& ending)
+        : job_table_(input.job_table),
+          capacity_(page_bytes(input.settings)),
+          longest_name_(input.cluster_view.longest_name()) {
+        for (const auto& [key, page] : job_table_.pages()) {
+            if (input.leadership.owns_shard(key.first)) load_[key] = load_of(page, ending);
         }
     }
 
     Pages assign(StagedRecords& staged) {
         for (const auto& [key, record] : staged.chunks) {
             if (record.chunk.page == 0) continue;
-            touched_[{node_.job_table.find(key.first)->job.team, record.chunk.page}].push_back(key);
+            touched_[{job_table_.find(key.first)->job.team, record.chunk.page}].push_back(key);
         }
         for (auto& [key, record] : staged.chunks) {
             if (record.chunk.page != 0) continue;
-            const core::JobEntry& entry = *node_.job_table.find(key.first);
-            const std::size_t resources = reserve(entry, key.second, record.chunk);
-            const core::AttemptPageKey page = choose(entry.job.team, resources);
-            load_[page] += resources;
+            const core::JobEntry& entry = *job_table_.find(key.first);
+            const std::size_t bytes = reserve(entry, key.second, record.chunk);
+            const core::AttemptPageKey page = choose(entry.job.team, bytes);
+            load_[page] += bytes;
             record.chunk.page = page.second;
             touched_[page].push_back(key);
         }
@@ -81,7 +83,7 @@
     std::size_t load_of(const core::AttemptPage& page, const std::set<std::string>& ending) const {
         std::size_t sum = 0;
         for (const auto& [job, chunk] : page.chunks) {
-            const core::JobEntry* entry = node_.job_table.find(job);
+            const core::JobEntry* entry = job_table_.find(job);
             if (entry == nullptr || ending.contains(job)) continue;
             sum += reserve(*entry, chunk, entry->chunks.at(chunk));
         }
@@ -89,34 +91,34 @@
     }
 
     // Pages that are written anyway first, then the emptiest, then a new one.
-    core::AttemptPageKey choose(const std::string& team, std::size_t resources) {
-        if (const auto page = last_touched(team, resources)) return *page;
-        return emptiest_or_new(team, resources);
+    core::AttemptPageKey choose(const std::string& team, std::size_t bytes) {
+        if (const auto page = last_touched(team, bytes)) return *page;
+        return emptiest_or_new(team, bytes);
     }
 
-    std::optional<core::AttemptPageKey> last_touched(const std::string& team, std::size_t resources) {
+    std::optional<core::AttemptPageKey> last_touched(const std::string& team, std::size_t bytes) {
         std::optional<core::AttemptPageKey> last;
         for (const auto& [page, chunks] : touched_) {
-            if (page.first == team && load_[page] + resources <= capacity_) last = page;
+            if (page.first == team && load_[page] + bytes <= capacity_) last = page;
         }
         return last;
     }
 
-    core::AttemptPageKey emptiest_or_new(const std::string& team, std::size_t resources) const {
+    core::AttemptPageKey emptiest_or_new(const std::string& team, std::size_t bytes) const {
         std::optional<core::AttemptPageKey> emptiest;
         core::AttemptPageKey fresh{team, 1};
         std::size_t least = capacity_;
         for (const auto& [page, load] : load_) {
             if (page.first != team) continue;
             if (page.second == fresh.second) ++fresh.second;
-            if (load + resources > least) continue;
-            least = load + resources;
+            if (load + bytes > least) continue;
+            least = load + bytes;
             emptiest = page;
         }
         return emptiest.value_or(fresh);
     }
 
-    const Node& node_;
+    const core::JobTable& job_table_;
     std::size_t capacity_;
     std::size_t longest_name_;
     std::map<core::AttemptPageKey, std::size_t> load_;  // bytes of this node's teams' pages, at the most
@@ -126,8 +128,8 @@
 }  // namespace
 
 std::map<core::AttemptPageKey, std::vector<core::ChunkKey>> assign_pages(
-    const Node& node, StagedRecords& staged, const std::set<std::string>& ending) {
-    return PageAssignment{node, ending}.assign(staged);
+    const PageAssignmentInput& input, StagedRecords& staged, const std::set<std::string>& ending) {
+    return PageAssignment{input, ending}.assign(staged);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/placement_round.cpp
+++ b/src/scheduling/placement_round.cpp
@@ -20,16 +20,15 @@
     core::PlacementInput input;
     input.most_records = most_records;
     // A pass starts what one transaction records; more would hold up what comes after it.
-    input.most_starts =
-        std::max<std::size_t>(input.most_starts, node_.settings.txn_ops * kStartsPerOperation);
+    input.most_starts = std::max<std::size_t>(input.most_starts, settings_.txn_ops * kStartsPerOperation);
     input.most_stops =
-        std::max<std::size_t>(input.most_stops, node_.cluster_view.machines().size() / kMachinesPerStop);
-    input.job_table = &node_.job_table;
-    input.cluster_view = &node_.cluster_view;
-    input.teams = &node_.settings.teams;
-    input.objectives = &node_.settings.objectives;
-    for (const auto& [name, team] : node_.settings.teams) {
-        if (node_.owns_shard(name)) input.own_teams.insert(name);
+        std::max<std::size_t>(input.most_stops, workers_.cluster_view().machines().size() / kMachinesPerStop);
+    input.job_table = &replicated_.job_table();
+    input.cluster_view = &workers_.cluster_view();
+    input.teams = &settings_.teams;
+    input.objectives = &settings_.objectives;
+    for (const auto& [name, team] : settings_.teams) {
+        if (leadership_.owns_shard(name)) input.own_teams.insert(name);
     }
     input.now = io::steady_now();
     input.wall_clock_now = io::wall_now();
@@ -37,7 +36,7 @@
 }
 
 bool PlacementRound::anything_to_start(const core::PlacementInput& input) const {
-    const auto& jobs = node_.job_table.jobs();
+    const auto& jobs = replicated_.job_table().jobs();
     return std::any_of(jobs.begin(), jobs.end(), [&](const auto& job) {
         const core::JobEntry& entry = job.second;
         return entry.unstarted() > 0 && !entry.job.cancelled && input.own_teams.contains(entry.job.team);
@@ -50,19 +49,17 @@
     for (const auto& [task, until] : stopping_) input.stopping.insert(task);
     // Free capacity that another owner has cleared: without this the victim's owner, which hears of the exit
     // as soon as anyone, puts the task right back and is stopped again, over and over.
-    std::erase_if(node_.peer_reservations, [&](const auto& hold) {
-        const core::Attempt* open = node_.job_table.open_attempt(hold.first.job, hold.first.task);
-        return hold.second.until <= input.now || (open != nullptr && open->machine == hold.second.machine);
-    });
-    for (const auto& [task, hold] : node_.peer_reservations) input.peer_reservations.push_back(hold);
+    peer_reservations_.drop_settled(replicated_.job_table(), input.now);
+    for (const auto& [task, reservation] : peer_reservations_.all())
+        input.peer_reservations.push_back(reservation);
 }
 
 core::FreeCapacity PlacementRound::free_capacity(Micros now) {
-    auto availability = node_.availability();
+    auto availability = workers_.availability();
     for (const auto& [machine, until] : failure_backoff_.machine_backoff(now))
         availability.banned_until[machine] = until;
-    return core::FreeCapacity::build(node_.cluster_view, node_.job_table, *node_.catalog, availability,
-                                     &node_.free_capacity_cache);
+    return core::FreeCapacity::build(workers_.cluster_view(), replicated_.job_table(), *catalog_,
+                                     availability, &free_capacity_cache_);
 }
 
 std::size_t PlacementRound::run(StagedRecords& staged, std::size_t most_records) {
@@ -70,16 +67,16 @@
     if (!anything_to_start(input)) return 0;
     input.job_backoff = failure_backoff_.job_backoff();
     const auto pipelines =
-        core::PipelineSchedule::build(node_.job_table, node_.settings.objectives, input.wall_clock_now);
+        core::PipelineSchedule::build(replicated_.job_table(), settings_.objectives, input.wall_clock_now);
     input.pipelines = &pipelines;
     core::FreeCapacity capacity = free_capacity(input.now);
     add_peer_reservations(input);
     auto result = core::place(input, capacity);
-    capacity.recycle(node_.free_capacity_cache);
+    capacity.recycle(free_capacity_cache_);
     announce(result.reservations, input.now);
     reservations_ = std::move(result.reservations);
     std::erase_if(announced_, [&](const auto& told) { return !reservations_.contains(told.first); });
-    for (const auto& start : result.starts) staged.start(*node_.job_table.find(start.job), start);
+    for (const auto& start : result.starts) staged.start(*replicated_.job_table().find(start.job), start);
     send_stops(result.stops, input.now);
     return result.deferred;
 }
@@ -88,12 +85,13 @@
     for (const auto& [task, reservation] : reservations) {
         // Told again before it runs out on the others' side.
         Micros& told_until = announced_[task];
-        if (!node_.announce_reservation || reservation.until - told_until < kAnnounceAgain) continue;
+        if (reservation.until - told_until < kAnnounceAgain) continue;
         told_until = reservation.until;
         const core::Resources& resources = reservation.resources;
         const auto lasts_us = static_cast<std::uint64_t>((reservation.until - now).count());
-        node_.announce_reservation({reservation.machine, task.job, task.task, resources.cpus, resources.gpus,
-                                    resources.memory_gb, lasts_us, reservation.waiting});
+        links_.broadcast(wire::CapacityReservationNotice{reservation.machine, task.job, task.task,
+                                                         resources.cpus, resources.gpus, resources.memory_gb,
+                                                         lasts_us, reservation.waiting});
     }
 }
 
--- a/src/scheduling/shard_scheduler.cpp
+++ b/src/scheduling/shard_scheduler.cpp
@@ -26,12 +26,25 @@
 constexpr double kCompletionShare = 0.5;
 }  // namespace
 
+ShardScheduler::ShardScheduler(const SchedulingContext& context)
+    : context_(context),
+      dispatch_(context.replicated, context.leadership, context.workers, context.commands),
+      failure_backoff_(context.replicated, context.workers),
+      reconciler_(context.settings, context.replicated, context.leadership, context.workers, context.leases,
+                  dispatch_, failure_backoff_),
+      placement_(context.settings, context.catalog, context.replicated, context.leadership, context.workers,
+                 context.free_capacity_cache, context.reservations, context.links, dispatch_,
+                 failure_backoff_),
+      pages_(context.settings, context.replicated, context.leadership, context.workers),
+      commit_(context.loop, context.settings, context.replicated, context.leadership, context.store,
+              context.replica, context.signals, pages_, dispatch_) {}
+
 Task<void> ShardScheduler::run() {
     while (true) {
-        co_await node_.scheduling_needed.wait(steady_now() + kIdleInterval);
+        co_await context_.signals.scheduling_needed.wait(steady_now() + kIdleInterval);
         // Close changes share one pass and one group commit.
-        co_await node_.loop.sleep(std::max(node_.tunables.pass_gap, kPauseInPasses * last_pass_));
-        if (!node_.holds_leadership() || !node_.catalog) continue;
+        co_await context_.loop.sleep(std::max(context_.tunables.pass_gap, kPauseInPasses * last_pass_));
+        if (!context_.leadership.holds_leadership() || !context_.catalog) continue;
         start_epoch();
         auto whole_pass = pass();
         co_await std::move(whole_pass);
@@ -43,8 +56,8 @@
 }
 
 void ShardScheduler::start_epoch() {
-    if (epoch_seen_ == node_.epoch.number) return;
-    epoch_seen_ = node_.epoch.number;
+    if (epoch_seen_ == context_.replicated.epoch().number) return;
+    epoch_seen_ = context_.replicated.epoch().number;
     dispatch_.start_epoch();
     placement_.start_epoch();
     pages_.start_epoch();
@@ -57,29 +70,29 @@
     reconciler_.reconcile(staged);
     // Nothing new is placed in an outage, nor from a copy that may lack this node's own records: what they
     // use would be placed once more (UserAnswers.AnOwnerPlansNothingFromACopyThatLacksItsOwnRecords).
-    const bool reachable = node_.state.reachable(steady_now());
+    const bool reachable = context_.store.reachable(steady_now());
     const bool in_doubt = commit_.in_doubt();
-    if (in_doubt || !reachable || !replica_.has_own_commits()) {
+    if (in_doubt || !reachable || !context_.replica.has_own_commits()) {
         last_pass_ = steady_now() - began;
         if (!in_doubt || !reachable) co_return;
         auto repeat = commit_.repeat();
         co_await std::move(repeat);
-        node_.scheduling_needed.notify_all();
+        context_.signals.scheduling_needed.notify_all();
         co_return;
     }
     PassWrites writes = plan_writes(staged);
-    node_.state.set_backlog(writes.left_out + static_cast<double>(writes.deferred));
+    context_.store.set_backlog(writes.left_out + static_cast<double>(writes.deferred));
     last_pass_ = std::min(steady_now() - began, kPassCounted);
     spdlog::debug(
         "event=scheduling_pass took_us={} units={} writes={} left_out={} deferred={} spare={:.1f} "
         "rate={:.1f}",
         last_pass_.count(), writes.units.size(), writes.planned, writes.left_out, writes.deferred,
-        writes.spare, node_.state.write_rate());
+        writes.spare, context_.store.write_rate());
     if (writes.units.empty()) co_return;
     auto task = commit_.write(std::move(writes.units));
     const bool committed = co_await std::move(task);
     // The free capacity of the pass is used up by then: another pass sees what is left to do.
-    if (committed) node_.scheduling_needed.notify_all();
+    if (committed) context_.signals.scheduling_needed.notify_all();
 }
 
 // Most of what an owner has to write can wait. Were it to use the budget ahead, each start after it would
@@ -90,8 +103,8 @@
 }
 
 ShardScheduler::WriteBudget ShardScheduler::write_budget() {
-    const double spare = std::max(0.0, node_.state.spare_writes());
-    return {spare, std::max(kLeastWrites, spare + node_.state.write_rate() * kBudgetSpanSeconds)};
+    const double spare = std::max(0.0, context_.store.spare_writes());
+    return {spare, std::max(kLeastWrites, spare + context_.store.write_rate() * kBudgetSpanSeconds)};
 }
 
 ShardScheduler::PassWrites ShardScheduler::plan_writes(StagedRecords& staged) {
@@ -115,8 +128,8 @@
 }
 
 Task<void> ShardScheduler::erase_unused_pages() {
-    if (steady_now() - last_erased_ < kEraseInterval || !node_.holds_leadership()) co_return;
-    if (node_.state.spare_writes() < kEraseSpareWrites) co_return;
+    if (steady_now() - last_erased_ < kEraseInterval || !context_.leadership.holds_leadership()) co_return;
+    if (context_.store.spare_writes() < kEraseSpareWrites) co_return;
     last_erased_ = steady_now();
     auto task = commit_.erase_unused_pages();
     co_await std::move(task);
--- a/src/scheduling/shard_scheduler.hpp
+++ b/src/scheduling/shard_scheduler.hpp
@@ -2,7 +2,12 @@
 // loop; the steps are modules of their own.
 #pragma once
 
-#include "cluster/node.hpp"
+#include <optional>
+
+#include "cluster/leadership.hpp"
+#include "cluster/peer_links.hpp"
+#include "cluster/peer_reservations.hpp"
+#include "config/settings.hpp"
 #include "scheduling/attempt_page_writer.hpp"
 #include "scheduling/attempt_reconciler.hpp"
 #include "scheduling/command_dispatcher.hpp"
@@ -10,21 +15,33 @@
 #include "scheduling/group_commit.hpp"
 #include "scheduling/placement_round.hpp"
 #include "store/replica.hpp"
-#include "workers/worker_gateway.hpp"
+#include "store/replicated_state.hpp"
+#include "workers/command_sender.hpp"
 
 namespace hatchwind::controller {
 
+/// What the scheduling of a shard reads, and what it changes.
+struct SchedulingContext {
+    io::Loop& loop;
+    const Settings& settings;
+    const Tunables& tunables;
+    const std::optional<core::Catalog>& catalog;
+    const ReplicatedState& replicated;
+    const Leadership& leadership;
+    const WorkerStatus& workers;
+    WorkerLeases& leases;
+    StoreClient& store;
+    Replica& replica;
+    PeerReservations& reservations;
+    PeerLinks& links;
+    CommandSender& commands;
+    core::FreeCapacityCache& free_capacity_cache;
+    ChangeSignals& signals;
+};
+
 class ShardScheduler {
   public:
-    ShardScheduler(Node& node, Replica& replica, WorkerGateway& workers)
-        : node_(node),
-          replica_(replica),
-          dispatch_(node, workers),
-          failure_backoff_(node),
-          reconciler_(node, dispatch_, failure_backoff_),
-          placement_(node, dispatch_, failure_backoff_),
-          pages_(node),
-          commit_(node, replica, pages_, dispatch_) {}
+    explicit ShardScheduler(const SchedulingContext& context);
     io::Task<void> run();
 
   private:
@@ -48,8 +65,7 @@
     // Places, and picks the units that the budget bears.
     PassWrites plan_writes(StagedRecords& staged);
 
-    Node& node_;
-    Replica& replica_;
+    const SchedulingContext context_;
     CommandDispatcher dispatch_;
     FailureBackoff failure_backoff_;
     AttemptReconciler reconciler_;
--- /dev/null
+++ b/src/store/change_signals.hpp
@@ -0,0 +1,22 @@
+/// Wake-ups between long-lived duties of one controller.
+#pragma once
+
+#include "io/loop.hpp"
+
+namespace hatchwind::controller {
+
+/// Signals carry no data: whoever wakes compares wanted with seen anew, so one that is lost or repeated does
+/// no harm.
+struct ChangeSignals {
+    explicit ChangeSignals(io::Loop& loop)
+        : replica_advanced(loop), scheduling_needed(loop), scaling_needed(loop) {}
+
+    /// The replica of the store has reached a later revision.
+    io::Signal replica_advanced;
+    /// Something changed that may let a task start or end.
+    io::Signal scheduling_needed;
+    /// Something changed that may call for more machines.
+    io::Signal scaling_needed;
+};
+
+}  // namespace hatchwind::controller
--- a/src/store/final_state_reader.cpp
+++ b/src/store/final_state_reader.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "store/store_keys.hpp"
+
 namespace hatchwind::controller {
 
 using io::Micros;
@@ -46,7 +48,7 @@
         into = *state;
         co_return Lookup::found;
     }
-    auto task = node_.state.get(keys::final(job), deadline);
+    auto task = store_.get(keys::final(job), deadline);
     const GetResult r = co_await std::move(task);
     if (!r.ok) co_return Lookup::failed;
     revision = r.revision;
@@ -75,7 +77,7 @@
     std::size_t next = 0;
     while (next < jobs.size()) {
         if (steady_now() >= deadline) co_return false;
-        auto task = node_.state.page(std::string(kFinal), just_before(keys::final(jobs[next])));
+        auto task = store_.page(std::string(kFinal), just_before(keys::final(jobs[next])));
         const auto page = co_await std::move(task);
         if (!page) co_return false;
         revision = std::max(revision, page->revision);
@@ -104,7 +106,7 @@
         co_return ok;
     }
     const std::size_t readers = std::min(jobs.size(), kReadersOfOneCall);
-    Batch batch{std::move(jobs), deadline, io::Signal{node_.loop}, 0, readers, 0, true};
+    Batch batch{std::move(jobs), deadline, io::Signal{loop_}, 0, readers, 0, true};
     io::Scope scope;
     for (std::size_t i = 0; i < readers; ++i) scope.spawn(read_singly(batch));
     while (batch.readers > 0) co_await batch.read.wait();
--- a/src/store/final_state_reader.hpp
+++ b/src/store/final_state_reader.hpp
@@ -3,10 +3,11 @@
 
 #include <optional>
 
-#include "cluster/node.hpp"
 #include "core/dependency_graph.hpp"
+#include "io/loop.hpp"
 #include "store/final_state_cache.hpp"
 #include "store/replica.hpp"
+#include "store/store_client.hpp"
 
 namespace hatchwind::controller {
 
@@ -14,7 +15,8 @@
 
 class FinalStateReader {
   public:
-    FinalStateReader(Node& node, Replica& replica) : node_(node), states_(replica.final_states()) {}
+    FinalStateReader(io::Loop& loop, StoreClient& store, FinalStateCache& states)
+        : loop_(loop), store_(store), states_(states) {}
 
     // What is remembered; null or nothing when it is not known here.
     const FinalState* known(const std::string& job) const { return states_.find(job); }
@@ -32,7 +34,8 @@
     io::Task<void> read_singly(Batch& batch);
     io::Task<bool> read_pages(std::vector<std::string> jobs, core::Revision& revision, io::Micros deadline);
 
-    Node& node_;
+    io::Loop& loop_;
+    StoreClient& store_;
     FinalStateCache& states_;
 };
 
--- /dev/null
+++ b/src/store/store_keys.hpp
@@ -0,0 +1,34 @@
+/// Keys under which this program keeps its records in the store.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "core/job_table.hpp"
+
+namespace hatchwind::controller::keys {
+
+/// Prefix of everything that the replica holds.
+constexpr const char* kRoot = "h/";
+constexpr const char* kEpoch = "h/epoch";
+constexpr const char* kDraining = "h/draining";
+/// Never written: reading it returns the store's current revision.
+constexpr const char* kReadIndex = "h/~";
+constexpr std::string_view kJobPrefix = "h/job/";
+constexpr std::string_view kAttemptPagePrefix = "h/run/";
+constexpr std::string_view kMemberPrefix = "h/node/";
+constexpr std::string_view kDependencyListPrefix = "h/awaits/";
+
+inline std::string member(const std::string& label) { return std::string(kMemberPrefix) + label; }
+inline std::string job(const std::string& id) { return std::string(kJobPrefix) + id; }
+inline std::string page(const core::AttemptPageKey& key) {
+    return std::string(kAttemptPagePrefix) + key.first + "/" + std::to_string(key.second);
+}
+/// A part of a dependency list that is too long for its job's record.
+inline std::string dependency_part(const std::string& job, const std::string& list, std::uint32_t part) {
+    return std::string(kDependencyListPrefix) + job + "/" + list + "/" + std::to_string(part);
+}
+/// Outside the replica: final states are read on demand.
+inline std::string final(const std::string& id) { return "f/" + id; }
+
+}  // namespace hatchwind::controller::keys
--- /dev/null
+++ b/src/workers/command_sender.cpp
@@ -0,0 +1,117 @@
+#include "workers/command_sender.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+#include "wire/messages.hpp"
+#include "workers/worker_http_limits.hpp"
+
+namespace hatchwind::controller {
+
+using io::Micros;
+using io::steady_now;
+using io::Task;
+
+namespace {
+constexpr Micros kCommandTimeout{2'500'000};
+constexpr std::size_t kMaxQueuedCommands = 256;  // for one machine
+constexpr int kStatusOk = 200;
+constexpr int kStatusConflict = 409;  // a higher fencing token or another incarnation: refused, but answered
+}  // namespace
+
+void CommandSender::forget_earlier_epochs() {
+    const std::uint64_t epoch = context_.replicated.epoch().number;
+    if (unanswered_epoch_ == epoch) return;
+    unanswered_epoch_ = epoch;
+    std::erase_if(unanswered_starts_, [&](const auto& start) { return start.second.epoch < epoch; });
+}
+
+void CommandSender::enqueue(const std::string& machine, std::uint64_t incarnation,
+                            core::WorkerCommand command) {
+    forget_earlier_epochs();
+    const std::uint64_t epoch = context_.replicated.epoch().number;
+    CommandQueue& queue = queues_[machine];
+    if (queue.incarnation != incarnation || queue.epoch != epoch) {
+        // Commands die with the incarnation they were meant for, and with the epoch they were given in.
+        resolve_start_copies(queue.commands, queue.epoch);
+        queue.commands.clear();
+        queue.incarnation = incarnation;
+        queue.epoch = epoch;
+    }
+    if (queue.commands.size() >= kMaxQueuedCommands) return;
+    count_start(command);
+    queue.commands.push_back(std::move(command));
+    if (queue.sending) return;
+    queue.sending = true;
+    context_.scope.spawn(send(machine));
+}
+
+bool CommandSender::start_pending(const std::string& job, std::uint32_t task, std::uint64_t attempt) const {
+    const auto start = unanswered_starts_.find({job, task, attempt});
+    return start != unanswered_starts_.end() && start->second.epoch == context_.replicated.epoch().number;
+}
+
+void CommandSender::count_start(const core::WorkerCommand& command) {
+    if (command.kind != core::CommandKind::start) return;
+    const std::uint64_t epoch = context_.replicated.epoch().number;
+    UnansweredStart& start = unanswered_starts_[{command.job, command.task, command.attempt}];
+    if (start.epoch != epoch) start = {epoch, 0};
+    ++start.copies;
+}
+
+void CommandSender::resolve_start_copy(const core::WorkerCommand& command, std::uint64_t epoch) {
+    if (command.kind != core::CommandKind::start) return;
+    const auto start = unanswered_starts_.find({command.job, command.task, command.attempt});
+    if (start == unanswered_starts_.end() || start->second.epoch != epoch) return;
+    if (--start->second.copies == 0) unanswered_starts_.erase(start);
+}
+
+void CommandSender::resolve_start_copies(const std::vector<core::WorkerCommand>& commands,
+                                         std::uint64_t epoch) {
+    for (const auto& command : commands) resolve_start_copy(command, epoch);
+}
+
+void CommandSender::handle_reply(const std::string& machine, std::uint64_t epoch,
+                                 const std::vector<core::WorkerCommand>& commands,
+                                 const io::HttpReply& reply) {
+    const bool answered = reply.status == kStatusOk || reply.status == kStatusConflict;
+    // One copy of each: another one that got no answer may still arrive.
+    if (answered || reply.never_sent) resolve_start_copies(commands, epoch);
+    if (answered) {
+        context_.workers.handle_response_body(reply.body);
+        context_.signals.scheduling_needed.notify_all();
+        return;
+    }
+    // Without a socket of this controller's own the machine was not asked: banned for that, live machines of
+    // a large fleet got nothing after a failover.
+    if (!reply.pool_exhausted) context_.probes.record_unanswered(machine, steady_now());
+    spdlog::debug("event=command_unanswered machine={} status={} commands={}", machine, reply.status,
+                  commands.size());
+}
+
+Task<void> CommandSender::send(std::string machine) {
+    // Commands of the same turn go out together.
+    co_await context_.loop.yield();
+    while (true) {
+        auto queue = queues_.find(machine);
+        if (queue == queues_.end()) co_return;
+        const core::MachineView* view = context_.workers.cluster_view().find(machine);
+        const auto address = view == nullptr ? std::nullopt : io::parse_address(view->last_heartbeat.address);
+        if (queue->second.commands.empty() || !address || !context_.leadership.holds_leadership()) {
+            // Never sent, so nothing of them can be under way.
+            resolve_start_copies(queue->second.commands, queue->second.epoch);
+            queues_.erase(queue);
+            co_return;
+        }
+        const auto commands = std::exchange(queue->second.commands, {});
+        const std::uint64_t epoch = queue->second.epoch;
+        auto body = wire::encode(wire::commands_request(epoch, queue->second.incarnation, commands));
+        auto sending = context_.worker_http.send(*address, "POST", "/orders", std::move(body),
+                                                 steady_now() + kCommandTimeout, kMaxWorkerStatusBytes);
+        const io::HttpReply reply = co_await std::move(sending);
+        handle_reply(machine, epoch, commands, reply);
+    }
+}
+
+}  // namespace hatchwind::controller
--- /dev/null
+++ b/src/workers/worker_http_limits.hpp
@@ -0,0 +1,11 @@
+/// Bounds of what workers answer.
+#pragma once
+
+#include <cstddef>
+
+namespace hatchwind::controller {
+
+/// A worker's status with all its tasks.
+constexpr std::size_t kMaxWorkerStatusBytes = std::size_t{256} * 1024;
+
+}  // namespace hatchwind::controller
--- /dev/null
+++ b/src/workers/worker_status.cpp
@@ -0,0 +1,200 @@
+#include "workers/worker_status.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+#include "io/socket.hpp"
+#include "wire/messages.hpp"
+
+namespace hatchwind::controller {
+
+using core::Micros;
+
+wire::WorkerStatusUpdate status_update(const core::MachineView& machine, Micros heard) {
+    wire::WorkerStatusUpdate update;
+    update.heartbeat = machine.last_heartbeat;
+    update.heard_us = heard.count();
+    update.confirmed = machine.confirmed;
+    return update;
+}
+
+Micros WorkerStatus::stale_heartbeat_threshold() const {
+    constexpr double kIntervals = 2;
+    constexpr double kGraceSeconds = 6;
+    return core::from_seconds(context_.settings.report_s * kIntervals + kGraceSeconds);
+}
+
+WorkerStatus::KnownMachine WorkerStatus::known_machine(const std::string& machine) const {
+    const core::MachineView* view = cluster_view_.find(machine);
+    if (view == nullptr) return {};
+    return {true, view->last_heartbeat.incarnation, view->content_sequence,
+            view->last_heartbeat.fencing_token, view->confirmed};
+}
+
+bool WorkerStatus::merge_heartbeat(core::WorkerHeartbeat heartbeat, Micros heard, HeartbeatSource source) {
+    const std::string machine = heartbeat.machine;
+    context_.leases.record_incarnation(machine, heartbeat.incarnation);
+    const KnownMachine before = known_machine(machine);
+    const Micros now = io::steady_now();
+    const core::Epoch& epoch = context_.replicated.epoch();
+    // A heartbeat that bears the token of an epoch that has only just begun was made after it began.
+    const bool recent = heartbeat.fencing_token != 0 && heartbeat.fencing_token == epoch.number &&
+                        now - context_.replicated.epoch_seen_at() < stale_heartbeat_threshold();
+    const bool proves_life =
+        source == HeartbeatSource::response || source == HeartbeatSource::confirmed_by_peer || recent;
+    if (!cluster_view_.apply(std::move(heartbeat), now, heard, proves_life, stale_heartbeat_threshold())) {
+        if (heard.count() != 0) cluster_view_.heard(machine, heard);
+        return false;
+    }
+    const core::MachineView& view = *cluster_view_.find(machine);
+    const KnownMachine after = known_machine(machine);
+    const bool changed = !before.known || before.incarnation != after.incarnation ||
+                         before.content_sequence != after.content_sequence;
+    if (changed) record_images(view);
+    if (!after.confirmed) context_.probes.request(machine);
+    context_.probes.expedite(machine);
+    const bool news =
+        changed || before.fencing_token != after.fencing_token || before.confirmed != after.confirmed;
+    if (news) context_.signals.scheduling_needed.notify_all();
+    if (!before.known) context_.signals.scaling_needed.notify_all();
+    return news;
+}
+
+// A task that runs, or is done, has had its image fetched.
+void WorkerStatus::record_images(const core::MachineView& machine) {
+    if (!context_.catalog) return;
+    const auto type = context_.catalog->find(machine.last_heartbeat.type);
+    if (type == context_.catalog->end()) return;
+    for (const auto& task : machine.last_heartbeat.tasks) {
+        const bool fetched = task.state != core::TaskState::fetching &&
+                             (task.state != core::TaskState::exited || task.cause == core::ExitCause::done);
+        const core::JobEntry* entry = fetched ? context_.replicated.job_table().find(task.job) : nullptr;
+        if (entry == nullptr) continue;
+        cluster_view_.record_image(machine.last_heartbeat.machine, entry->job.image, entry->job.image_gb,
+                                   type->second.cache_gb, io::steady_now());
+    }
+}
+
+void WorkerStatus::handle_heartbeat(core::WorkerHeartbeat heartbeat) {
+    const Micros wall_clock_now = io::wall_now();
+    context_.health.last_worker_contact = io::steady_now();
+    const std::string machine = heartbeat.machine;
+    const std::uint64_t sequence = heartbeat.heartbeat_sequence;
+    // Even the answer to a late copy may have renewed a lease, as far as this controller can tell: it bounds
+    // the lease's end, and proves nothing about the machine.
+    context_.leases.renew(machine, wall_clock_now, context_.health.last_worker_contact);
+    const bool news = merge_heartbeat(std::move(heartbeat), wall_clock_now, HeartbeatSource::request);
+    share(machine, sequence, wall_clock_now, news);
+}
+
+void WorkerStatus::handle_response(core::WorkerHeartbeat status) {
+    context_.health.last_worker_contact = io::steady_now();
+    const std::string machine = status.machine;
+    const std::uint64_t sequence = status.heartbeat_sequence;
+    context_.probes.remove(machine);
+    const bool news = merge_heartbeat(std::move(status), Micros{0}, HeartbeatSource::response);
+    cluster_view_.confirm(machine);
+    share(machine, sequence, Micros{0}, news);
+}
+
+void WorkerStatus::handle_response_body(const std::string& body) {
+    const auto decoded = wire::decode(body);
+    auto status = decoded ? wire::parse_worker_heartbeat(*decoded) : std::nullopt;
+    if (!status) {
+        ++malformed_responses_;
+        spdlog::warn("event=malformed_command_response count={}", malformed_responses_);
+        return;
+    }
+    handle_response(std::move(*status));
+}
+
+void WorkerStatus::share(const std::string& machine, std::uint64_t heartbeat_sequence, Micros heard,
+                         bool news) {
+    const core::MachineView* view = cluster_view_.find(machine);
+    // A copy of an old heartbeat is no sign of life, and none of the others' business.
+    if (view == nullptr || view->last_heartbeat.heartbeat_sequence != heartbeat_sequence) return;
+    if (news) {
+        context_.links.broadcast(status_update(*view, heard));
+        return;
+    }
+    // Unchanged heartbeats are passed on in a short form: the others use a machine only while it has news.
+    context_.links.broadcast(wire::WorkerKeepAlive{
+        machine, view->last_heartbeat.incarnation, view->last_heartbeat.heartbeat_sequence,
+        view->last_heartbeat.fencing_token, view->content_sequence, heard.count()});
+}
+
+void WorkerStatus::apply_peer_renewal(const std::string& machine, Micros renewed_at) {
+    if (cluster_view_.released(machine)) return;
+    context_.leases.record_peer_renewal(machine, renewed_at);
+    cluster_view_.heard(machine, renewed_at);
+}
+
+void WorkerStatus::apply_peer_status(wire::WorkerStatusUpdate update) {
+    const Micros heard{update.heard_us};
+    const std::string machine = update.heartbeat.machine;
+    if (cluster_view_.released(machine)) return;
+    if (heard.count() != 0) {
+        context_.leases.record_peer_renewal(machine, heard);
+        context_.leases.unassign(machine);
+    }
+    merge_heartbeat(std::move(update.heartbeat), heard,
+                    update.confirmed ? HeartbeatSource::confirmed_by_peer : HeartbeatSource::peer);
+    if (!context_.catalog || update.images.empty()) return;
+    const core::MachineView* view = cluster_view_.find(machine);
+    if (view == nullptr) return;
+    const auto type = context_.catalog->find(view->last_heartbeat.type);
+    if (type == context_.catalog->end()) return;
+    for (const auto& [image, gb] : update.images) {
+        if (view->images.contains(image)) continue;
+        cluster_view_.record_image(machine, image, gb, type->second.cache_gb, io::steady_now());
+    }
+}
+
+void WorkerStatus::apply_peer_keep_alive(const wire::WorkerKeepAlive& keep_alive) {
+    const Micros heard{keep_alive.heard_us};
+    if (cluster_view_.released(keep_alive.machine)) return;
+    if (heard.count() != 0) {
+        context_.leases.record_peer_renewal(keep_alive.machine, heard);
+        context_.leases.unassign(keep_alive.machine);
+    }
+    cluster_view_.alive(keep_alive.machine, keep_alive.incarnation, keep_alive.heartbeat_sequence,
+                        keep_alive.fencing_token, keep_alive.content_sequence, io::steady_now(), heard);
+}
+
+void WorkerStatus::record_released(const std::string& machine) {
+    if (cluster_view_.released(machine)) return;
+    const core::MachineView* view = cluster_view_.find(machine);
+    if (view != nullptr) {
+        if (const auto address = io::parse_address(view->last_heartbeat.address))
+            context_.worker_http.forget(*address);
+    }
+    cluster_view_.release(machine, io::steady_now());
+    context_.leases.forget(machine);
+    context_.probes.remove(machine);
+    context_.signals.scheduling_needed.notify_all();
+    context_.signals.scaling_needed.notify_all();
+}
+
+core::Availability WorkerStatus::availability() const {
+    constexpr double kSilentIntervals = 2.5;
+    constexpr double kSilentGraceSeconds = 1.5;
+    constexpr Micros kUnansweredFor{2'000'000};
+    core::Availability availability;
+    availability.now = io::steady_now();
+    availability.silent_after =
+        core::from_seconds(context_.settings.report_s * kSilentIntervals + kSilentGraceSeconds);
+    // A worker whose heartbeats reach nobody keeps no lease: its tasks would die with each of its
+    // incarnations.
+    availability.heard_since = io::wall_now() - availability.silent_after;
+    availability.draining = context_.replicated.draining();
+    availability.candidates = drain_candidates_;
+    // One that reports but does not answer gets nothing new: its lease runs out on its own side.
+    for (const auto& [machine, state] : context_.probes.states()) {
+        if (ReachabilityProbes::is_unanswered_for(state, kUnansweredFor, availability.now))
+            availability.banned_until[machine] = Micros::max();
+    }
+    return availability;
+}
+
+}  // namespace hatchwind::controller
--- a/tests/attempt_pages_test.cpp
+++ b/tests/attempt_pages_test.cpp
@@ -4,6 +4,7 @@
 #include "scheduling/attempt_page_writer.hpp"
 #include "scheduling/page_assignment.hpp"
 #include "support.hpp"
+#include "worker_state.hpp"
 
 namespace hatchwind {
 namespace {
@@ -30,13 +31,14 @@
 
 class AttemptPages : public ::testing::Test {
   protected:
-    AttemptPages()
-        : settings_(settings_of_small_values()), node_(loop_, settings_, controller::tune({}, settings_)) {
-        node_.epoch.shard_owners["x"] = "n0";
+    AttemptPages() {
+        core::Epoch epoch;
+        epoch.shard_owners["x"] = state_.settings.label;
+        state_.replicated.set_epoch(std::move(epoch), core::Micros{0});
     }
 
     void accept(int number, std::uint32_t tasks = kTasks) {
-        node_.job_table.put_job(test::job(name(number), "x", tasks, 1), ++mod_revision_);
+        state_.replicated.job_table().put_job(test::job(name(number), "x", tasks, 1), ++mod_revision_);
     }
     static std::string name(int number) { return "req-" + std::to_string(100 + number); }
 
@@ -44,7 +46,7 @@
     controller::StagedRecords starts(const std::vector<int>& jobs) const {
         controller::StagedRecords staged;
         for (const int job : jobs) {
-            const core::JobEntry& entry = *node_.job_table.find(name(job));
+            const core::JobEntry& entry = *state_.replicated.job_table().find(name(job));
             for (std::uint32_t task = 0; task < entry.job.tasks; ++task) {
                 const std::string machine = "n-00" + std::to_string(1000 + task / kTasksOfOneMachine);
                 staged.start(entry, {name(job), task, {1, machine, 1}});
@@ -59,21 +61,20 @@
         chunk.open[task] = {1, "n-1", 1};
         chunk.last_attempt = 1;
         chunk.page = 1;
-        node_.job_table.put_chunk(name(job), 0, chunk);
+        state_.replicated.job_table().put_chunk(name(job), 0, chunk);
     }
 
     // How urgent it is to record that the task is done.
     WriteRank rank_of_completion(int job, std::uint32_t task, Micros now) {
-        const core::JobEntry& entry = *node_.job_table.find(name(job));
+        const core::JobEntry& entry = *state_.replicated.job_table().find(name(job));
         controller::StagedRecords staged;
-        staged.close({entry, task, *node_.job_table.open_attempt(name(job), task)}, true);
+        staged.close({entry, task, *state_.replicated.job_table().open_attempt(name(job), task)}, true);
         return writer_.units(staged, now).front().rank;
     }
 
-    io::Loop loop_;
-    controller::Settings settings_;
-    controller::Node node_;
-    controller::AttemptPageWriter writer_{node_};
+    test::WorkerState state_{settings_of_small_values()};
+    controller::AttemptPageWriter writer_{state_.settings, state_.replicated, state_.leadership,
+                                          state_.workers};
     core::Revision mod_revision_ = 0;
 };
 
@@ -85,13 +86,15 @@
         jobs.push_back(job);
     }
     auto staged = starts(jobs);
-    const auto pages = controller::assign_pages(node_, staged, {});
+    const auto pages = controller::assign_pages(
+        {state_.settings, state_.replicated.job_table(), state_.workers.cluster_view(), state_.leadership},
+        staged, {});
     // With the worst for each task, each of these jobs took a page of its own.
     EXPECT_LE(pages.size(), 2U);
     for (const auto& [page, chunks] : pages) {
         controller::PageContent content;
         for (const auto& chunk : chunks) content[chunk] = &staged.chunks.at(chunk).chunk;
-        EXPECT_LE(controller::page_bytes(content), settings_.value_limit());
+        EXPECT_LE(controller::page_bytes(content), state_.settings.value_limit());
     }
 }
 
@@ -111,7 +114,7 @@
     for (std::uint32_t task = 0; task < 900; ++task) chunk.open[task] = {1, "n-1", 1};
     chunk.last_attempt = 1;
     chunk.page = 1;
-    node_.job_table.put_chunk(name(0), 0, chunk);
+    state_.replicated.job_table().put_chunk(name(0), 0, chunk);
     EXPECT_EQ(rank_of_completion(0, 0, Micros{1'000'000}), WriteRank::completion);
     EXPECT_EQ(rank_of_completion(0, 0, Micros{6'000'000}), WriteRank::overdue_completion);
 }
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -2,6 +2,7 @@
 #include "controller/controller.hpp"
 #include "site.hpp"
 #include "support.hpp"
+#include "worker_state.hpp"
 
 namespace hatchwind {
 namespace {
@@ -32,40 +33,34 @@
 
 constexpr Micros kSecond{1'000'000};
 
-// The worker reaches nobody, and its later sessions are learned from answers to direct commands. Their leases
-// were taken for over with that of the last answered report, and tasks were started twice.
+// The worker reaches nobody, and its later incarnations are learned from answers to direct commands. Their
+// leases were taken for expired with that of the last answered heartbeat, and tasks were started twice.
 TEST(LeaseOfASession, IsCountedFromTheFirstNewsOfThatSession) {
-    io::Loop loop;
-    const auto settings = settings_with_lease(10);
-    controller::Node node(loop, settings, controller::tune({}, settings));
-    node.handle_heartbeat(heartbeat_of_incarnation(1, 1), true);
+    test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
-    node.lease_renewals_known["n-1"] = now - 30 * kSecond;  // nothing was answered since
-    node.handle_heartbeat(heartbeat_of_incarnation(2, 2), false);
-    EXPECT_FALSE(node.lease_expired("n-1", 2, now + 9 * kSecond)) << "it may have begun just now";
-    EXPECT_TRUE(node.lease_expired("n-1", 2, now + 13 * kSecond));
+    // Nothing was answered since.
+    state.heartbeat_answered_by_peer(heartbeat_of_incarnation(1, 1), now - 30 * kSecond);
+    state.workers.handle_response(heartbeat_of_incarnation(2, 2));
+    EXPECT_FALSE(state.leases.is_expired("n-1", 2, now + 9 * kSecond)) << "it may have begun just now";
+    EXPECT_TRUE(state.leases.is_expired("n-1", 2, now + 13 * kSecond));
 }
 
 TEST(LeaseOfASession, KnownFromARecordOnlyIsCountedFromWhenTheRecordWasSeen) {
-    io::Loop loop;
-    const auto settings = settings_with_lease(10);
-    controller::Node node(loop, settings, controller::tune({}, settings));
+    test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
-    node.lease_renewals_known["n-1"] = now - 30 * kSecond;
-    EXPECT_FALSE(node.lease_expired("n-1", 5, now + 9 * kSecond));
-    EXPECT_TRUE(node.lease_expired("n-1", 5, now + 13 * kSecond));
+    state.leases.record_peer_renewal("n-1", now - 30 * kSecond);
+    EXPECT_FALSE(state.leases.is_expired("n-1", 5, now + 9 * kSecond));
+    EXPECT_TRUE(state.leases.is_expired("n-1", 5, now + 13 * kSecond));
 }
 
 TEST(LeaseOfASession, LaterNewsOfItChangesNothing) {
-    io::Loop loop;
-    const auto settings = settings_with_lease(10);
-    controller::Node node(loop, settings, controller::tune({}, settings));
+    test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
-    for (std::uint64_t heartbeat_sequence = 1; heartbeat_sequence < 4; ++heartbeat_sequence)
-        node.handle_heartbeat(heartbeat_of_incarnation(2, heartbeat_sequence), false);
-    node.record_incarnation("n-1", 1);
-    EXPECT_FALSE(node.lease_expired("n-1", 2, now + 9 * kSecond));
-    EXPECT_TRUE(node.lease_expired("n-1", 2, now + 13 * kSecond));
+    for (std::uint64_t sequence = 1; sequence < 4; ++sequence)
+        state.workers.handle_response(heartbeat_of_incarnation(2, sequence));
+    state.leases.record_incarnation("n-1", 1);
+    EXPECT_FALSE(state.leases.is_expired("n-1", 2, now + 9 * kSecond));
+    EXPECT_TRUE(state.leases.is_expired("n-1", 2, now + 13 * kSecond));
 }
 
 TEST(Placement, AMachineWhoseReportsNobodyAnswersTakesNothing) {
@@ -85,20 +80,18 @@
 }
 
 TEST(ToldCancels, ApplyOnceAndBringNothingBack) {
-    io::Loop loop;
-    const auto settings = settings_with_lease(10);
-    controller::Node node(loop, settings, controller::tune({}, settings));
-    node.job_table.put_job(test::job("req-1", "x", 1, 1), 10);
-    node.revision = 12;
-    node.apply_cancellations({{"req-1", 11, 5}});
-    EXPECT_FALSE(node.job_table.find("req-1")->job.cancelled)
+    controller::ReplicatedState replicated;
+    replicated.job_table().put_job(test::job("req-1", "x", 1, 1), 10);
+    replicated.advance_to(12);
+    EXPECT_FALSE(replicated.apply_cancellations({{"req-1", 11, 5}}));
+    EXPECT_FALSE(replicated.job_table().find("req-1")->job.cancelled)
         << "the replica has come further, so it knows better";
-    node.apply_cancellations({{"req-1", 13, 5}, {"req-2", 14, 5}});
-    EXPECT_TRUE(node.job_table.find("req-1")->job.cancelled);
-    EXPECT_EQ(node.job_table.find("req-1")->mod_revision, 13U);
-    EXPECT_EQ(node.job_table.find("req-2"), nullptr);
-    EXPECT_EQ(node.cancellations_after(12), (std::vector<wire::CancellationNotice>{{"req-1", 13, 5}}));
-    EXPECT_TRUE(node.cancellations_after(13).empty());
+    EXPECT_TRUE(replicated.apply_cancellations({{"req-1", 13, 5}, {"req-2", 14, 5}}));
+    EXPECT_TRUE(replicated.job_table().find("req-1")->job.cancelled);
+    EXPECT_EQ(replicated.job_table().find("req-1")->mod_revision, 13U);
+    EXPECT_EQ(replicated.job_table().find("req-2"), nullptr);
+    EXPECT_EQ(replicated.cancellations_after(12), (std::vector<wire::CancellationNotice>{{"req-1", 13, 5}}));
+    EXPECT_TRUE(replicated.cancellations_after(13).empty());
 }
 
 // What a story of the gap varies.
