--- a/src/core/epoch.cpp
+++ b/src/core/epoch.cpp
@@ -1,125 +1,203 @@
 #include "core/epoch.hpp"
 
 #include <algorithm>
+#include <tuple>
 
 namespace hatchwind::core {
 
-std::map<std::string, std::string> assign_shards(const std::vector<Team>& teams,
-                                                 const std::vector<std::string>& members,
-                                                 const std::string& leader,
-                                                 const std::map<std::string, std::string>& before) {
-    std::map<std::string, std::string> out;
-    if (members.empty()) return out;
-    std::map<std::string, std::size_t> load;
-    for (const auto& m : members) load[m] = 0;
-    const std::size_t most = (teams.size() + members.size() - 1) / members.size();
-    const std::size_t least = teams.size() / members.size();
-    for (const auto& t : teams) {
-        const auto b = before.find(t.name);
-        if (b == before.end() || !load.contains(b->second) || load[b->second] >= most) continue;
-        out[t.name] = b->second;
-        ++load[b->second];
+namespace {
+
+using ShardOwners = std::map<std::string, std::string>;  // team -> label
+
+class ShardAssignment {
+  public:
+    ShardAssignment(const std::vector<Team>& teams, const std::vector<std::string>& members,
+                    const std::string& leader)
+        : teams_(teams), leader_(leader), member_count_(members.size()) {
+        for (const auto& member : members) load_[member] = 0;
     }
-    const auto lightest = [&] {
-        // The leader has work of its own, so it comes last among equals.
-        return std::min_element(load.begin(), load.end(), [&](const auto& a, const auto& b) {
-            return std::tuple{a.second, a.first == leader, a.first} <
-                   std::tuple{b.second, b.first == leader, b.first};
-        });
-    };
-    for (const auto& t : teams) {
-        if (out.contains(t.name)) continue;
-        const auto to = lightest();
-        out[t.name] = to->first;
-        ++to->second;
+
+    ShardOwners run(const ShardOwners& previous) {
+        keep_previous_owners(previous);
+        assign_rest();
+        raise_lightest();
+        return std::move(owners_);
+    }
+
+  private:
+    using Load = std::map<std::string, std::size_t>;  // member -> teams
+
+    void keep_previous_owners(const ShardOwners& previous) {
+        const std::size_t most = (teams_.size() + member_count_ - 1) / member_count_;
+        for (const auto& team : teams_) {
+            const auto owner = previous.find(team.name);
+            if (owner == previous.end()) continue;
+            const auto member = load_.find(owner->second);
+            if (member == load_.end() || member->second >= most) continue;
+            assign(team.name, member);
+        }
     }
-    // A member that came back empty-handed takes from the fullest.
-    while (lightest()->second < least) {
-        const auto to = lightest();
-        const auto from = std::max_element(load.begin(), load.end(),
-                                           [](const auto& a, const auto& b) { return a.second < b.second; });
-        for (auto& [team, owner] : out) {
-            if (owner != from->first) continue;
-            owner = to->first;
-            break;
+
+    void assign_rest() {
+        for (const auto& team : teams_) {
+            if (!owners_.contains(team.name)) assign(team.name, lightest());
         }
+    }
+
+    // A member that came back without any team takes over teams of those that have the most.
+    void raise_lightest() {
+        const std::size_t least = teams_.size() / member_count_;
+        while (lightest()->second < least) move_one_team(heaviest(), lightest());
+    }
+
+    void assign(const std::string& team, Load::iterator member) {
+        owners_[team] = member->first;
+        ++member->second;
+    }
+
+    void move_one_team(Load::iterator from, Load::iterator to) {
+        const auto moved = std::find_if(owners_.begin(), owners_.end(),
+                                        [&](const auto& owned) { return owned.second == from->first; });
+        if (moved != owners_.end()) moved->second = to->first;
         --from->second;
         ++to->second;
     }
-    return out;
+
+    // The leader has work of its own, so it comes last among equals.
+    Load::iterator lightest() {
+        return std::min_element(load_.begin(), load_.end(), [&](const auto& left, const auto& right) {
+            return std::tuple{left.second, left.first == leader_, left.first} <
+                   std::tuple{right.second, right.first == leader_, right.first};
+        });
+    }
+
+    Load::iterator heaviest() {
+        return std::max_element(load_.begin(), load_.end(), [](const auto& left, const auto& right) {
+            return left.second < right.second;
+        });
+    }
+
+    const std::vector<Team>& teams_;
+    const std::string& leader_;
+    std::size_t member_count_;
+    Load load_;
+    ShardOwners owners_;
+};
+
+bool is_alive(const Member& member, const EpochInput& input) {
+    const auto record = input.member_records.find(member.label);
+    return record != input.member_records.end() && record->second.store_lease == member.store_lease;
+}
+
+bool may_write_epoch(const EpochInput& input) {
+    if (!is_alive(input.self, input)) return false;
+    const Member* leader = input.current.member(input.current.leader);
+    return leader == nullptr || *leader == input.self || !is_alive(*leader, input);
 }
 
-std::optional<EpochPlan> plan_epoch(const EpochInput& in) {
-    const auto alive = [&](const Member& m) {
-        const auto it = in.member_records.find(m.label);
-        return it != in.member_records.end() && it->second.store_lease == m.store_lease;
-    };
-    if (!alive(in.self)) return std::nullopt;
-    const Member* leader = in.current.member(in.current.leader);
-    const bool is_cluster_leader = leader != nullptr && *leader == in.self;
-    if (leader != nullptr && !is_cluster_leader && alive(*leader)) return std::nullopt;
-
-    EpochPlan plan;
-    plan.next.number = in.current.number + 1;
-    plan.next.removed_at = in.current.removed_at;
-    plan.next.mod_revision = in.current.mod_revision;
-    plan.next.unknown_fields = in.current.unknown_fields;
-    bool removes = false;
-    for (const auto& m : in.current.members) {
-        if (alive(m)) continue;
-        if (in.protected_members.contains(m.label) || in.bound_by_earlier_votes) return std::nullopt;
-        removes = true;
-        const auto it = in.member_records.find(m.label);
-        plan.member_conditions.emplace_back(m.label,
-                                            it == in.member_records.end() ? 0 : it->second.mod_revision);
+MemberCondition condition_on(const std::string& label, const EpochInput& input) {
+    const auto record = input.member_records.find(label);
+    return {label, record == input.member_records.end() ? 0 : record->second.mod_revision};
+}
+
+// The conditions under which all members that are gone may be removed; nothing while one of them may not be.
+std::optional<std::vector<MemberCondition>> removal_conditions(const EpochInput& input) {
+    std::vector<MemberCondition> conditions;
+    for (const auto& member : input.current.members) {
+        if (is_alive(member, input)) continue;
+        if (input.protected_members.contains(member.label) || input.bound_by_earlier_votes)
+            return std::nullopt;
+        conditions.push_back(condition_on(member.label, input));
     }
-    if (removes) plan.next.removed_at = in.wall_clock_now;
-    plan.member_conditions.emplace_back(in.self.label, in.member_records.at(in.self.label).mod_revision);
+    return conditions;
+}
 
+// All live members when none of them is healthy.
+std::vector<std::string> healthy_members(const EpochInput& input) {
     std::vector<std::string> healthy;
-    for (const auto& [label, record] : in.member_records) {
-        plan.next.members.push_back({label, record.store_lease});
-        if (!in.unhealthy.contains(label)) healthy.push_back(label);
-    }
-    if (healthy.empty()) {
-        for (const auto& m : plan.next.members) healthy.push_back(m.label);
+    std::vector<std::string> all;
+    for (const auto& [label, record] : input.member_records) {
+        all.push_back(label);
+        if (!input.unhealthy.contains(label)) healthy.push_back(label);
     }
-    plan.next.leader = in.self.label;
+    return healthy.empty() ? all : healthy;
+}
+
+bool says_the_same(const Epoch& current, const Epoch& next) {
+    return current.number != 0 && next.members == current.members &&
+           next.shard_owners == current.shard_owners && next.leader == current.leader;
+}
+
+}  // namespace
+
+std::map<std::string, std::string> assign_shards(const std::vector<Team>& teams,
+                                                 const std::vector<std::string>& members,
+                                                 const std::string& leader,
+                                                 const std::map<std::string, std::string>& previous) {
+    if (members.empty()) return {};
+    return ShardAssignment{teams, members, leader}.run(previous);
+}
+
+std::optional<EpochPlan> plan_epoch(const EpochInput& input) {
+    if (!may_write_epoch(input)) return std::nullopt;
+    auto conditions = removal_conditions(input);
+    if (!conditions) return std::nullopt;
+    const bool removes_members = !conditions->empty();
+    conditions->push_back(condition_on(input.self.label, input));
+
+    Epoch next;
+    next.number = input.current.number + 1;
+    next.removed_at = removes_members ? input.wall_clock_now : input.current.removed_at;
+    next.mod_revision = input.current.mod_revision;
+    next.unknown_fields = input.current.unknown_fields;
+    for (const auto& [label, record] : input.member_records)
+        next.members.push_back({label, record.store_lease});
+
+    const std::vector<std::string> healthy = healthy_members(input);
+    const bool self_healthy = std::find(healthy.begin(), healthy.end(), input.self.label) != healthy.end();
     // A leader that cannot do its part hands over.
-    if (std::find(healthy.begin(), healthy.end(), in.self.label) == healthy.end())
-        plan.next.leader = healthy.front();
-    plan.next.shard_owners = assign_shards(in.teams, healthy, plan.next.leader, in.current.shard_owners);
-    const bool same = in.current.number != 0 && plan.next.members == in.current.members &&
-                      plan.next.shard_owners == in.current.shard_owners &&
-                      plan.next.leader == in.current.leader;
-    if (same) return std::nullopt;
-    return plan;
+    next.leader = self_healthy ? input.self.label : healthy.front();
+    next.shard_owners = assign_shards(input.teams, healthy, next.leader, input.current.shard_owners);
+    if (says_the_same(input.current, next)) return std::nullopt;
+    return EpochPlan{std::move(next), std::move(*conditions)};
 }
 
-Micros LeadershipLease::shortened(Micros from, Micros life) {
-    // Clocks drift apart by up to 0.05%; 0.2% and a margin for timers that fire late.
-    return from + life - life / 500 - Micros{50'000};
+Micros LeadershipLease::safe_end(Micros start, Micros time_to_live) {
+    // Clocks drift apart by up to 0.05%: this is 0.2%.
+    constexpr int kDriftDivisor = 500;
+    // Timers fire late.
+    constexpr Micros kTimerMargin{50'000};
+    return start + time_to_live - time_to_live / kDriftDivisor - kTimerMargin;
 }
 
-void LeadershipLease::renewed(Micros sent, Micros life) {
-    until_ = std::max(until_, shortened(sent, life));
+void LeadershipLease::renewed(Micros sent_at, Micros time_to_live) {
+    until_ = std::max(until_, safe_end(sent_at, time_to_live));
     extension_votes_.clear();
 }
 
-void LeadershipLease::record_vote(const std::string& from, Micros asked, Micros life, Micros now) {
-    if (!alive(now)) return;
-    auto& p = extension_votes_[from];
-    p = std::max(p, shortened(asked, life));
-    // Fold a full set into the leadership lease, so that it goes on from there.
-    Micros all = Micros::max();
-    for (const auto& o : others_) {
-        const auto it = extension_votes_.find(o);
-        if (it == extension_votes_.end()) return;
-        all = std::min(all, it->second);
-    }
-    if (!others_.empty()) until_ = std::max(until_, all);
+void LeadershipLease::record_vote(const std::string& voter, Micros requested_at, Micros time_to_live,
+                                  Micros monotonic_now) {
+    if (!alive(monotonic_now)) return;
+    Micros& vote_end = extension_votes_[voter];
+    vote_end = std::max(vote_end, safe_end(requested_at, time_to_live));
+    // A full set of votes becomes part of the lease, so that the next set goes on from there.
+    if (const auto full_vote = end_of_full_vote()) until_ = std::max(until_, *full_vote);
+}
+
+void LeadershipLease::lost() {
+    until_ = Micros::min();
+    extension_votes_.clear();
 }
 
-Micros LeadershipLease::until() const { return until_; }
+std::optional<Micros> LeadershipLease::end_of_full_vote() const {
+    if (others_.empty()) return std::nullopt;
+    Micros end = Micros::max();
+    for (const auto& other : others_) {
+        const auto vote = extension_votes_.find(other);
+        if (vote == extension_votes_.end()) return std::nullopt;
+        end = std::min(end, vote->second);
+    }
+    return end;
+}
 
 }  // namespace hatchwind::core
--- a/tests/epoch_test.cpp
+++ b/tests/epoch_test.cpp
@@ -324,12 +324,10 @@
     ASSERT_TRUE(plan.has_value());
     EXPECT_EQ(plan->next.leader, "b");
     EXPECT_EQ(plan->next.number, 5U);
-    EXPECT_EQ(plan->member_conditions,
-              (std::vector<std::pair<std::string, core::Revision>>{{"a", 0}, {"b", 6}}));
+    EXPECT_EQ(plan->member_conditions, (std::vector<core::MemberCondition>{{"a", 0}, {"b", 6}}));
     // The same label in a new life: the old one is gone, so it counts as removed, and as a member anew.
     in.member_records["a"] = {7, 8};
-    EXPECT_EQ(core::plan_epoch(in)->member_conditions.front(),
-              (std::pair<std::string, core::Revision>{"a", 8}));
+    EXPECT_EQ(core::plan_epoch(in)->member_conditions.front(), (core::MemberCondition{"a", 8}));
     in.protected_members.insert("a");
     EXPECT_FALSE(core::plan_epoch(in).has_value()) << "a promise binds";
 }
