--- a/src/core/job_table.cpp
+++ b/src/core/job_table.cpp
@@ -4,72 +4,96 @@
 
 namespace hatchwind::core {
 
-std::uint64_t JobEntry::last_attempt() const {
-    std::uint64_t n = 0;
-    for (const auto& [i, c] : chunks) n = std::max(n, c.last_attempt);
-    return n;
+namespace {
+
+const Chunk* find_chunk(const JobEntry& entry, std::uint32_t index) {
+    const auto chunk = entry.chunks.find(index);
+    return chunk == entry.chunks.end() ? nullptr : &chunk->second;
 }
 
-void JobTable::drop(const TaskRef& ref, const std::string& machine) {
-    const auto it = by_machine_.find(machine);
-    if (it == by_machine_.end()) return;
-    it->second.tasks.erase(ref);
-    it->second.version = ++changes_;
-    if (it->second.tasks.empty()) by_machine_.erase(it);
-}
-
-void JobTable::account(const JobEntry& e, const Chunk& before, const Chunk& after) {
-    auto b = before.open.begin();
-    auto a = after.open.begin();
-    while (b != before.open.end() || a != after.open.end()) {
-        if (a != after.open.end() && b != before.open.end() && a->first == b->first &&
-            a->second == b->second) {
-            ++a;
-            ++b;
-            continue;
-        }
-        if (b != before.open.end() && (a == after.open.end() || b->first <= a->first)) {
-            drop({e.job.id, b->first}, b->second.machine);
-            ++b;
+bool is_unstarted(const Chunk* chunk, std::uint32_t task) {
+    return chunk == nullptr || (!chunk->done.contains(task) && !chunk->open.contains(task));
+}
+
+}  // namespace
+
+std::uint64_t JobEntry::last_attempt() const {
+    std::uint64_t highest = 0;
+    for (const auto& [index, chunk] : chunks) highest = std::max(highest, chunk.last_attempt);
+    return highest;
+}
+
+void JobTable::add_to_machine(const JobEntry& entry, std::uint32_t task, const Attempt& attempt) {
+    MachineTasks& machine = by_machine_[attempt.machine];
+    machine.tasks[{entry.job.id, task}] = {&entry, attempt.number, attempt.incarnation};
+    machine.version = ++last_version_;
+}
+
+void JobTable::remove_from_machine(const TaskRef& ref, const std::string& machine) {
+    const auto known = by_machine_.find(machine);
+    if (known == by_machine_.end()) return;
+    known->second.tasks.erase(ref);
+    known->second.version = ++last_version_;
+    if (known->second.tasks.empty()) by_machine_.erase(known);
+}
+
+void JobTable::update_indexes(const JobEntry& entry, const Chunk& before, const Chunk& after) {
+    auto old = before.open.begin();
+    auto now = after.open.begin();
+    while (old != before.open.end() || now != after.open.end()) {
+        const bool has_old = old != before.open.end();
+        const bool has_now = now != after.open.end();
+        if (has_old && has_now && *old == *now) {
+            ++old;
+            ++now;
+        } else if (has_old && (!has_now || old->first <= now->first)) {
+            remove_from_machine({entry.job.id, old->first}, old->second.machine);
+            ++old;
         } else {
-            MachineTasks& m = by_machine_[a->second.machine];
-            m.tasks[{e.job.id, a->first}] = {&e, a->second.number, a->second.incarnation};
-            m.version = ++changes_;
-            ++a;
+            add_to_machine(entry, now->first, now->second);
+            ++now;
         }
     }
-    use_[e.job.team] +=
-        e.job.resources * (static_cast<double>(after.open.size()) - static_cast<double>(before.open.size()));
+    const double more_tasks =
+        static_cast<double>(after.open.size()) - static_cast<double>(before.open.size());
+    use_[entry.job.team] += entry.job.resources * more_tasks;
 }
 
-void JobTable::put_job(Job job, Revision mod_revision) {
-    auto [it, fresh] = jobs_.try_emplace(job.id);
-    JobEntry& e = it->second;
-    if (!fresh && e.mod_revision >= mod_revision) return;
-    if (!fresh && e.job.team != job.team && e.open > 0) {
-        // A page of a released job may have been read before the record of its release: what it holds counts
-        // for the team that the job has now (Ledger.AReleaseThatIsReadLateMovesTheUseToTheTeam).
-        const Resources use = e.job.resources * static_cast<double>(e.open);
-        use_[e.job.team] -= use;
-        use_[job.team] += use;
+void JobTable::move_use_to_team(const JobEntry& entry, const std::string& team) {
+    if (entry.job.team == team || entry.open == 0) return;
+    const Resources use = entry.job.resources * static_cast<double>(entry.open);
+    use_[entry.job.team] -= use;
+    use_[team] += use;
+}
+
+void JobTable::adopt_orphans(const std::string& job) {
+    for (auto orphan = orphans_.lower_bound({job, 0});
+         orphan != orphans_.end() && orphan->first.first == job;) {
+        const std::uint32_t index = orphan->first.second;
+        Chunk chunk = std::move(orphan->second);
+        orphan = orphans_.erase(orphan);
+        put_chunk(job, index, std::move(chunk));
     }
-    e.job = std::move(job);
-    e.mod_revision = mod_revision;
-    join_dependency_parts(e.job);
-    if (e.job.waiting()) {
-        waiting_.insert(e.job.id);
+}
+
+void JobTable::put_job(Job job, Revision mod_revision) {
+    const auto [known, is_new] = jobs_.try_emplace(job.id);
+    JobEntry& entry = known->second;
+    if (!is_new && entry.mod_revision >= mod_revision) return;
+    // A page of a released job may have been read before the record of its release: what it contains counts
+    // for the team that the job has now (JobTable.AReleaseThatIsReadLateMovesTheUseToTheTeam).
+    if (!is_new) move_use_to_team(entry, job.team);
+    entry.job = std::move(job);
+    entry.mod_revision = mod_revision;
+    join_dependency_parts(entry.job);
+    if (entry.job.waiting()) {
+        waiting_.insert(entry.job.id);
     } else {
-        waiting_.erase(e.job.id);
+        waiting_.erase(entry.job.id);
     }
     // The store is read in pieces: a page may be newer than the job's record, and come before it. Without
     // what it says the job would look as if nothing of it had started.
-    for (auto o = orphans_.lower_bound({e.job.id, 0});
-         fresh && o != orphans_.end() && o->first.first == e.job.id;) {
-        const std::uint32_t index = o->first.second;
-        Chunk chunk = std::move(o->second);
-        o = orphans_.erase(o);
-        put_chunk(e.job.id, index, std::move(chunk));
-    }
+    if (is_new) adopt_orphans(entry.job.id);
 }
 
 void JobTable::put_cancel(const std::string& job, Revision revision, Micros cancelled_at) {
@@ -87,14 +111,15 @@
         if (kept.mod_revision < chunk.mod_revision) kept = std::move(chunk);
         return;
     }
-    JobEntry& e = it->second;
-    Chunk& mine = e.chunks[index];
-    if (mine.mod_revision >= chunk.mod_revision) return;
-    account(e, mine, chunk);
-    e.open =
-        e.open - static_cast<std::uint32_t>(mine.open.size()) + static_cast<std::uint32_t>(chunk.open.size());
-    e.done = e.done - mine.done.size() + chunk.done.size();
-    mine = std::move(chunk);
+    JobEntry& entry = it->second;
+    Chunk& known = entry.chunks[index];
+    if (known.mod_revision >= chunk.mod_revision) return;
+    update_indexes(entry, known, chunk);
+    entry.open -= static_cast<std::uint32_t>(known.open.size());
+    entry.open += static_cast<std::uint32_t>(chunk.open.size());
+    entry.done -= known.done.size();
+    entry.done += chunk.done.size();
+    known = std::move(chunk);
 }
 
 // The chunks are moved out of the map, which the check does not see.
@@ -107,43 +132,44 @@
     }
     page.mod_revision = mod_revision;
     page.chunks.clear();
-    for (auto& [chunk, c] : chunks) {
-        page.chunks.insert(chunk);
-        c.mod_revision = mod_revision;
-        c.page = key.second;
-        put_chunk(chunk.first, chunk.second, std::move(c));
+    for (auto& [chunk_key, chunk] : chunks) {
+        page.chunks.insert(chunk_key);
+        chunk.mod_revision = mod_revision;
+        chunk.page = key.second;
+        put_chunk(chunk_key.first, chunk_key.second, std::move(chunk));
     }
 }
 
-void JobTable::erase_page(const AttemptPageKey& key, Revision at) {
-    const auto it = pages_.find(key);
-    if (it == pages_.end() || it->second.mod_revision >= at) return;
-    for (const auto& [job, index] : it->second.chunks) erase_chunk(job, index, at);
-    pages_.erase(it);
+void JobTable::erase_page(const AttemptPageKey& key, Revision erased_at) {
+    const auto page = pages_.find(key);
+    if (page == pages_.end() || page->second.mod_revision >= erased_at) return;
+    for (const auto& [job, index] : page->second.chunks) erase_chunk(job, index, erased_at);
+    pages_.erase(page);
 }
 
-void JobTable::erase_job(const std::string& job, Revision at) {
-    const auto it = jobs_.find(job);
-    if (it == jobs_.end() || it->second.mod_revision >= at) return;
-    for (auto& [index, c] : it->second.chunks) {
-        account(it->second, c, {});
-        if (c.mod_revision != 0) orphans_[{job, index}] = std::move(c);
+void JobTable::erase_job(const std::string& job, Revision erased_at) {
+    const auto known = jobs_.find(job);
+    if (known == jobs_.end() || known->second.mod_revision >= erased_at) return;
+    for (auto& [index, chunk] : known->second.chunks) {
+        update_indexes(known->second, chunk, {});
+        if (chunk.mod_revision != 0) orphans_[{job, index}] = std::move(chunk);
     }
     waiting_.erase(job);
-    jobs_.erase(it);
+    jobs_.erase(known);
 }
 
-void JobTable::erase_chunk(const std::string& job, std::uint32_t index, Revision at) {
-    if (const auto o = orphans_.find({job, index}); o != orphans_.end() && o->second.mod_revision < at)
-        orphans_.erase(o);
-    const auto it = jobs_.find(job);
-    if (it == jobs_.end()) return;
-    const auto c = it->second.chunks.find(index);
-    if (c == it->second.chunks.end() || c->second.mod_revision >= at) return;
-    account(it->second, c->second, {});
-    it->second.open -= static_cast<std::uint32_t>(c->second.open.size());
-    it->second.done -= c->second.done.size();
-    it->second.chunks.erase(c);
+void JobTable::erase_chunk(const std::string& job, std::uint32_t index, Revision erased_at) {
+    const auto orphan = orphans_.find({job, index});
+    if (orphan != orphans_.end() && orphan->second.mod_revision < erased_at) orphans_.erase(orphan);
+    const auto known = jobs_.find(job);
+    if (known == jobs_.end()) return;
+    JobEntry& entry = known->second;
+    const auto chunk = entry.chunks.find(index);
+    if (chunk == entry.chunks.end() || chunk->second.mod_revision >= erased_at) return;
+    update_indexes(entry, chunk->second, {});
+    entry.open -= static_cast<std::uint32_t>(chunk->second.open.size());
+    entry.done -= chunk->second.done.size();
+    entry.chunks.erase(chunk);
 }
 
 void JobTable::put_dependency_part(const std::string& job, const std::string& list, std::uint32_t part,
@@ -189,12 +215,12 @@
 }
 
 const Attempt* JobTable::open_attempt(const std::string& job, std::uint32_t task) const {
-    const JobEntry* e = find(job);
-    if (e == nullptr) return nullptr;
-    const auto c = e->chunks.find(task / kChunkTasks);
-    if (c == e->chunks.end()) return nullptr;
-    const auto a = c->second.open.find(task);
-    return a == c->second.open.end() ? nullptr : &a->second;
+    const JobEntry* entry = find(job);
+    if (entry == nullptr) return nullptr;
+    const Chunk* chunk = find_chunk(*entry, task / kChunkTasks);
+    if (chunk == nullptr) return nullptr;
+    const auto attempt = chunk->open.find(task);
+    return attempt == chunk->open.end() ? nullptr : &attempt->second;
 }
 
 Resources JobTable::team_use(const std::string& team) const {
@@ -208,18 +234,17 @@
     return it == by_machine_.end() ? none : it->second.tasks;
 }
 
-std::vector<std::uint32_t> unstarted_tasks(const JobEntry& e, std::size_t most) {
-    std::vector<std::uint32_t> out;
-    const std::uint32_t last_chunk = (e.job.tasks - 1) / kChunkTasks;
-    for (std::uint32_t i = 0; i <= last_chunk && out.size() < most; ++i) {
-        const auto c = e.chunks.find(i);
-        const std::uint32_t end = std::min(e.job.tasks, (i + 1) * kChunkTasks);
-        for (std::uint32_t t = i * kChunkTasks; t < end && out.size() < most; ++t) {
-            if (c != e.chunks.end() && (c->second.done.contains(t) || c->second.open.contains(t))) continue;
-            out.push_back(t);
+std::vector<std::uint32_t> unstarted_tasks(const JobEntry& entry, std::size_t limit) {
+    std::vector<std::uint32_t> tasks;
+    const std::uint32_t last_chunk = (entry.job.tasks - 1) / kChunkTasks;
+    for (std::uint32_t index = 0; index <= last_chunk && tasks.size() < limit; ++index) {
+        const Chunk* chunk = find_chunk(entry, index);
+        const std::uint32_t end = std::min(entry.job.tasks, (index + 1) * kChunkTasks);
+        for (std::uint32_t task = index * kChunkTasks; task < end && tasks.size() < limit; ++task) {
+            if (is_unstarted(chunk, task)) tasks.push_back(task);
         }
     }
-    return out;
+    return tasks;
 }
 
 }  // namespace hatchwind::core
