--- a/src/core/cluster_view.cpp
+++ b/src/core/cluster_view.cpp
@@ -1,89 +1,123 @@
 #include "core/cluster_view.hpp"
 
 #include <algorithm>
+#include <numeric>
+#include <tuple>
+#include <utility>
 
 namespace hatchwind::core {
 
-bool ClusterView::apply(WorkerHeartbeat r, Micros monotonic_now, Micros heard_wall, bool answer,
+namespace {
+
+// Machine ids of the cloud are rarely shorter; an estimate for an empty view.
+constexpr std::size_t kUsualNameLength = 10;
+
+bool is_newer(const WorkerHeartbeat& heartbeat, const WorkerHeartbeat& known) {
+    return std::pair{heartbeat.incarnation, heartbeat.heartbeat_sequence} >
+           std::pair{known.incarnation, known.heartbeat_sequence};
+}
+
+// The same attempts in the same order, whatever their states.
+bool lists_same_attempts(const WorkerHeartbeat& left, const WorkerHeartbeat& right) {
+    return std::equal(left.tasks.begin(), left.tasks.end(), right.tasks.begin(), right.tasks.end(),
+                      [](const TaskStatus& one, const TaskStatus& other) {
+                          return one.task == other.task && one.attempt == other.attempt &&
+                                 one.job == other.job;
+                      });
+}
+
+bool has_same_content(const WorkerHeartbeat& left, const WorkerHeartbeat& right) {
+    return left.incarnation == right.incarnation && left.tasks == right.tasks &&
+           left.notice_s.has_value() == right.notice_s.has_value();
+}
+
+std::vector<std::uint32_t> index_of(const std::vector<TaskStatus>& tasks) {
+    std::vector<std::uint32_t> index(tasks.size());
+    std::iota(index.begin(), index.end(), 0U);
+    // An exited attempt may be listed beside a newer one of the same task: the newest counts.
+    std::sort(index.begin(), index.end(), [&](std::uint32_t left_position, std::uint32_t right_position) {
+        const TaskStatus& left = tasks[left_position];
+        const TaskStatus& right = tasks[right_position];
+        return std::tie(left.task, left.job, right.attempt) < std::tie(right.task, right.job, left.attempt);
+    });
+    return index;
+}
+
+}  // namespace
+
+const TaskStatus* MachineView::task(const std::string& job, std::uint32_t number) const {
+    const auto& tasks = last_heartbeat.tasks;
+    const auto found = std::lower_bound(
+        index.begin(), index.end(), std::tie(number, job), [&](std::uint32_t position, const auto& wanted) {
+            return std::tie(tasks[position].task, tasks[position].job) < wanted;
+        });
+    if (found == index.end()) return nullptr;
+    const TaskStatus& status = tasks[*found];
+    return status.task == number && status.job == job ? &status : nullptr;
+}
+
+bool ClusterView::apply(WorkerHeartbeat heartbeat, Micros monotonic_now, Micros heard_wall, bool answer,
                         Micros stale_heartbeat_threshold) {
-    // A late report must not bring back a machine that the cloud has confirmed as gone.
-    if (released_.contains(r.machine)) return false;
-    auto [it, fresh] = machines_.try_emplace(r.machine);
-    MachineView& m = it->second;
-    if (!fresh && std::pair{m.last_heartbeat.incarnation, m.last_heartbeat.heartbeat_sequence} >=
-                      std::pair{r.incarnation, r.heartbeat_sequence})
-        return false;
-    if (fresh) m.first_seen = monotonic_now;
+    // A late heartbeat must not bring back a machine that the cloud has confirmed as gone.
+    if (released_.contains(heartbeat.machine)) return false;
+    const auto [known, is_new] = machines_.try_emplace(heartbeat.machine);
+    MachineView& machine = known->second;
+    if (!is_new && !is_newer(heartbeat, machine.last_heartbeat)) return false;
     if (answer || stale_heartbeat_threshold == Micros::max()) {
-        m.confirmed = true;
-    } else if (!fresh && (monotonic_now - m.changed > stale_heartbeat_threshold ||
-                          m.last_heartbeat.incarnation != r.incarnation)) {
-        // A lease that ran out while its reports came in: perhaps no answer reaches it.
-        m.confirmed = false;
+        machine.confirmed = true;
+    } else if (!is_new && (monotonic_now - machine.last_heartbeat_at > stale_heartbeat_threshold ||
+                           machine.last_heartbeat.incarnation != heartbeat.incarnation)) {
+        // A lease that expired while heartbeats came in: perhaps no answer reaches the machine.
+        machine.confirmed = false;
     }
-    m.changed = monotonic_now;
-    m.heard = std::max(m.heard, heard_wall);
-    m.notice_until.reset();
-    if (r.notice_s) m.notice_until = monotonic_now + Micros{static_cast<std::int64_t>(*r.notice_s * 1e6)};
-    // A worker that lost its lease keeps its images: the machine did not restart.
-    const bool same_tasks =
-        std::equal(r.tasks.begin(), r.tasks.end(), m.last_heartbeat.tasks.begin(),
-                   m.last_heartbeat.tasks.end(), [](const TaskStatus& x, const TaskStatus& y) {
-                       return x.task == y.task && x.attempt == y.attempt && x.job == y.job;
-                   });
-    const bool same = same_tasks && m.last_heartbeat.incarnation == r.incarnation &&
-                      m.last_heartbeat.tasks == r.tasks &&
-                      m.last_heartbeat.notice_s.has_value() == r.notice_s.has_value();
-    m.last_heartbeat = std::move(r);
-    if (!same || fresh) m.content_sequence = m.last_heartbeat.heartbeat_sequence;
-    if (same_tasks) return true;
-    m.index.resize(m.last_heartbeat.tasks.size());
-    for (std::uint32_t i = 0; i < m.index.size(); ++i) m.index[i] = i;
-    // An exited attempt may be listed beside a newer one of the same task: the newest counts.
-    std::sort(m.index.begin(), m.index.end(), [&](std::uint32_t x, std::uint32_t y) {
-        const auto& s = m.last_heartbeat.tasks[x];
-        const auto& t = m.last_heartbeat.tasks[y];
-        return std::tie(s.task, s.job, t.attempt) < std::tie(t.task, t.job, s.attempt);
-    });
+    machine.last_heartbeat_at = monotonic_now;
+    machine.heard = std::max(machine.heard, heard_wall);
+    machine.notice_until.reset();
+    if (heartbeat.notice_s) machine.notice_until = monotonic_now + from_seconds(*heartbeat.notice_s);
+    // A worker whose lease expired keeps its images: the machine did not restart.
+    const bool same_attempts = lists_same_attempts(heartbeat, machine.last_heartbeat);
+    const bool same_content = has_same_content(heartbeat, machine.last_heartbeat);
+    machine.last_heartbeat = std::move(heartbeat);
+    if (is_new || !same_content) machine.content_sequence = machine.last_heartbeat.heartbeat_sequence;
+    if (!same_attempts) machine.index = index_of(machine.last_heartbeat.tasks);
     return true;
 }
 
 bool ClusterView::alive(const std::string& machine, std::uint64_t incarnation,
                         std::uint64_t heartbeat_sequence, std::uint64_t fencing_token,
                         std::uint64_t content_sequence, Micros monotonic_now, Micros heard_wall) {
-    const auto it = machines_.find(machine);
-    if (it == machines_.end()) return false;
-    MachineView& m = it->second;
-    // The sender's tasks are ours only in the same incarnation and when we have seen their last change.
-    if (m.last_heartbeat.incarnation != incarnation ||
-        m.last_heartbeat.heartbeat_sequence < content_sequence ||
-        m.last_heartbeat.heartbeat_sequence >= heartbeat_sequence)
-        return false;
-    m.last_heartbeat.heartbeat_sequence = heartbeat_sequence;
-    m.last_heartbeat.fencing_token = std::max(m.last_heartbeat.fencing_token, fencing_token);
-    m.changed = monotonic_now;
-    m.heard = std::max(m.heard, heard_wall);
+    const auto known = machines_.find(machine);
+    if (known == machines_.end()) return false;
+    MachineView& view = known->second;
+    WorkerHeartbeat& heartbeat = view.last_heartbeat;
+    // The sender's tasks are those known here only in the same incarnation, and once their last change is.
+    if (heartbeat.incarnation != incarnation || heartbeat.heartbeat_sequence < content_sequence) return false;
+    if (heartbeat.heartbeat_sequence >= heartbeat_sequence) return false;
+    heartbeat.heartbeat_sequence = heartbeat_sequence;
+    heartbeat.fencing_token = std::max(heartbeat.fencing_token, fencing_token);
+    view.last_heartbeat_at = monotonic_now;
+    view.heard = std::max(view.heard, heard_wall);
     return true;
 }
 
-void ClusterView::heard(const std::string& machine, Micros wall_clock_now) {
-    const auto it = machines_.find(machine);
-    if (it != machines_.end()) it->second.heard = std::max(it->second.heard, wall_clock_now);
+void ClusterView::heard(const std::string& machine, Micros heard_wall) {
+    const auto known = machines_.find(machine);
+    if (known != machines_.end()) known->second.heard = std::max(known->second.heard, heard_wall);
 }
 
 void ClusterView::record_image(const std::string& machine, const std::string& image, double gb,
                                double cache_gb, Micros monotonic_now) {
-    const auto it = machines_.find(machine);
-    if (it == machines_.end()) return;
-    auto& images = it->second.images;
+    const auto known = machines_.find(machine);
+    if (known == machines_.end()) return;
+    auto& images = known->second.images;
     images[image] = {gb, monotonic_now};
-    double total = 0;
-    for (const auto& [name, i] : images) total += i.gb;
-    while (total > cache_gb && images.size() > 1) {
-        const auto oldest = std::min_element(images.begin(), images.end(), [](const auto& a, const auto& b) {
-            return a.second.used < b.second.used;
-        });
-        total -= oldest->second.gb;
+    double total_gb = 0;
+    for (const auto& [name, cached] : images) total_gb += cached.gb;
+    while (total_gb > cache_gb && images.size() > 1) {
+        const auto oldest = std::min_element(
+            images.begin(), images.end(),
+            [](const auto& left, const auto& right) { return left.second.used < right.second.used; });
+        total_gb -= oldest->second.gb;
         images.erase(oldest);
     }
 }
@@ -94,48 +128,37 @@
 }
 
 void ClusterView::confirm(const std::string& machine) {
-    const auto it = machines_.find(machine);
-    if (it != machines_.end()) it->second.confirmed = true;
+    const auto known = machines_.find(machine);
+    if (known != machines_.end()) known->second.confirmed = true;
 }
 
 const MachineView* ClusterView::find(const std::string& machine) const {
-    const auto it = machines_.find(machine);
-    return it == machines_.end() ? nullptr : &it->second;
+    const auto known = machines_.find(machine);
+    return known == machines_.end() ? nullptr : &known->second;
 }
 
 std::size_t ClusterView::longest_name() const {
-    std::size_t most = 10;
-    for (const auto& [id, m] : machines_) most = std::max(most, id.size());
-    return most;
+    std::size_t longest = kUsualNameLength;
+    for (const auto& [id, view] : machines_) longest = std::max(longest, id.size());
+    return longest;
 }
 
-AttemptView view_attempt(const ClusterView& p, const std::string& job, std::uint32_t task, const Attempt& a) {
-    AttemptView v;
-    if (p.released(a.machine)) {
-        v.status = AttemptStatus::gone;
-        return v;
-    }
-    const MachineView* m = p.find(a.machine);
-    return m == nullptr ? v : view_attempt(*m, job, task, a.number, a.incarnation);
+AttemptView view_attempt(const ClusterView& view, const std::string& job, std::uint32_t task,
+                         const Attempt& attempt) {
+    if (view.released(attempt.machine)) return {.status = AttemptStatus::gone};
+    const MachineView* machine = view.find(attempt.machine);
+    if (machine == nullptr) return {};
+    return view_attempt(*machine, job, task, attempt.number, attempt.incarnation);
 }
 
-AttemptView view_attempt(const MachineView& m, const std::string& job, std::uint32_t task,
+AttemptView view_attempt(const MachineView& machine, const std::string& job, std::uint32_t task,
                          std::uint64_t number, std::uint64_t incarnation) {
-    AttemptView v;
-    if (m.last_heartbeat.incarnation < incarnation) return v;
-    if (m.last_heartbeat.incarnation > incarnation) {
-        v.status = AttemptStatus::gone;
-        return v;
-    }
-    const TaskStatus* t = m.task(job, task);
-    if (t == nullptr || t->attempt != number) {
-        v.status = AttemptStatus::unlisted;
-        return v;
-    }
-    v.state = t->state;
-    v.cause = t->cause;
-    v.status = t->state == TaskState::exited ? AttemptStatus::exited : AttemptStatus::live;
-    return v;
+    if (machine.last_heartbeat.incarnation < incarnation) return {};
+    if (machine.last_heartbeat.incarnation > incarnation) return {.status = AttemptStatus::gone};
+    const TaskStatus* listed = machine.task(job, task);
+    if (listed == nullptr || listed->attempt != number) return {.status = AttemptStatus::unlisted};
+    const bool exited = listed->state == TaskState::exited;
+    return {exited ? AttemptStatus::exited : AttemptStatus::live, listed->state, listed->cause};
 }
 
 }  // namespace hatchwind::core
--- a/src/core/free_capacity.cpp
+++ b/src/core/free_capacity.cpp
@@ -1,167 +1,215 @@
 #include "core/free_capacity.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace hatchwind::core {
 
 namespace {
+
 // Recorded attempts use capacity unless the worker says that they have ended.
 Resources used_on(const MachineView& view, const RecordedAttempts& recorded_attempts) {
-    Resources sum;
-    for (const auto& [ref, h] : recorded_attempts) {
-        const auto v = view_attempt(view, ref.job, ref.task, h.number, h.incarnation);
-        if (v.status != AttemptStatus::exited && v.status != AttemptStatus::gone)
-            sum += h.entry->job.resources;
+    Resources used;
+    for (const auto& [ref, recorded] : recorded_attempts) {
+        const auto seen = view_attempt(view, ref.job, ref.task, recorded.number, recorded.incarnation);
+        const bool ended = seen.status == AttemptStatus::exited || seen.status == AttemptStatus::gone;
+        if (!ended) used += recorded.entry->job.resources;
     }
-    return sum;
+    return used;
+}
+
+bool is_usable(const MachineView& view, const Availability& availability) {
+    return view.confirmed && !view.notice_until &&
+           availability.now - view.last_heartbeat_at < availability.silent_after &&
+           view.heard >= availability.heard_since;
 }
+
+MachineCapacity empty_machine(const std::string& id, const MachineView& view, const MachineType& type,
+                              const Availability& availability) {
+    MachineCapacity machine;
+    machine.id = id;
+    machine.type = &type;
+    machine.view = &view;
+    machine.zone = view.last_heartbeat.zone;
+    machine.spot = view.last_heartbeat.spot;
+    machine.incarnation = view.last_heartbeat.incarnation;
+    machine.free = type.size;
+    machine.usable = is_usable(view, availability);
+    return machine;
+}
+
+// What recorded attempts use on each machine, taken from the cache where nothing has changed. Machines have
+// to be asked for in ascending order, so that one walk over the cache serves all of them.
+class UsedCapacity {
+  public:
+    // `cache` may be null: then everything is computed anew.
+    UsedCapacity(FreeCapacityCache* cache, std::size_t machine_count) : cache_(cache) {
+        if (cache_ == nullptr) return;
+        uses_ = std::move(cache_->spare_uses);
+        uses_.clear();
+        uses_.reserve(machine_count);
+        next_known_ = cache_->uses.cbegin();
+    }
+
+    Resources of(const std::string& id, const MachineView& view, const MachineTasks& recorded) {
+        if (cache_ == nullptr) return used_on(view, recorded.tasks);
+        const FreeCapacityCache::Use* known = find_known(id, view, recorded.version);
+        const Resources used = known != nullptr ? known->amount : used_on(view, recorded.tasks);
+        uses_.push_back({id, view.last_heartbeat.incarnation, view.content_sequence, recorded.version, used});
+        return used;
+    }
+
+    // Leaves what was computed to the next pass.
+    void store() {
+        if (cache_ == nullptr) return;
+        cache_->spare_uses = std::move(cache_->uses);
+        cache_->uses = std::move(uses_);
+    }
+
+  private:
+    const FreeCapacityCache::Use* find_known(const std::string& id, const MachineView& view,
+                                             std::uint64_t version) {
+        const auto end = cache_->uses.cend();
+        while (next_known_ != end && next_known_->machine < id) ++next_known_;
+        if (next_known_ == end || next_known_->machine != id) return nullptr;
+        const bool unchanged = next_known_->incarnation == view.last_heartbeat.incarnation &&
+                               next_known_->content_sequence == view.content_sequence &&
+                               next_known_->version == version;
+        return unchanged ? &*next_known_ : nullptr;
+    }
+
+    FreeCapacityCache* cache_;
+    std::vector<FreeCapacityCache::Use> uses_;
+    std::vector<FreeCapacityCache::Use>::const_iterator next_known_;
+};
+
 }  // namespace
 
-// Not split yet: walks fleet, records and cache in step.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity)
-FreeCapacity FreeCapacity::build(const ClusterView& p, const JobTable& l, const Catalog& c,
-                                 const Availability& a, FreeCapacityCache* memory) {
+FreeCapacity FreeCapacity::build(const ClusterView& cluster_view, const JobTable& job_table,
+                                 const Catalog& catalog, const Availability& availability,
+                                 FreeCapacityCache* cache) {
     FreeCapacity capacity;
-    if (memory != nullptr) capacity.machines_ = std::move(memory->spare_machines);
+    if (cache != nullptr) capacity.machines_ = std::move(cache->spare_machines);
     capacity.machines_.clear();
-    capacity.machines_.reserve(p.machines().size());
-    auto recorded = l.by_machine().begin();
-    std::vector<FreeCapacityCache::Use> uses;
-    std::vector<FreeCapacityCache::Use>::const_iterator known;
-    if (memory != nullptr) {
-        uses = std::move(memory->spare_uses);
-        uses.clear();
-        uses.reserve(p.machines().size());
-        known = memory->uses.begin();
-    }
-    for (const auto& [id, view] : p.machines()) {
-        const auto type = c.find(view.last_heartbeat.type);
-        if (type == c.end()) continue;
-        MachineCapacity m;
-        m.id = id;
-        m.type = &type->second;
-        m.view = &view;
-        m.zone = view.last_heartbeat.zone;
-        m.spot = view.last_heartbeat.spot;
-        m.incarnation = view.last_heartbeat.incarnation;
-        m.free = type->second.size;
-        m.usable = view.confirmed && !view.notice_until && a.now - view.changed < a.silent_after &&
-                   view.heard >= a.heard_since;
-        while (recorded != l.by_machine().end() && recorded->first < id) ++recorded;
-        if (recorded != l.by_machine().end() && recorded->first == id) {
-            m.recorded_attempts = &recorded->second.tasks;
-            const FreeCapacityCache::Use* same = nullptr;
-            if (memory != nullptr) {
-                while (known != memory->uses.end() && known->machine < id) ++known;
-                if (known != memory->uses.end() && known->machine == id &&
-                    known->incarnation == view.last_heartbeat.incarnation &&
-                    known->content_sequence == view.content_sequence &&
-                    known->version == recorded->second.version)
-                    same = &*known;
-            }
-            const Resources used = same != nullptr ? same->amount : used_on(view, *m.recorded_attempts);
-            m.free -= used;
-            if (memory != nullptr) {
-                uses.push_back({id, view.last_heartbeat.incarnation, view.content_sequence,
-                                recorded->second.version, used});
-            }
+    capacity.machines_.reserve(cluster_view.machines().size());
+    UsedCapacity used_capacity{cache, cluster_view.machines().size()};
+    // Both are in the order of machine ids: one walk over each.
+    auto recorded = job_table.by_machine().begin();
+    const auto recorded_end = job_table.by_machine().end();
+    for (const auto& [id, view] : cluster_view.machines()) {
+        const auto type = catalog.find(view.last_heartbeat.type);
+        if (type == catalog.end()) continue;
+        MachineCapacity machine = empty_machine(id, view, type->second, availability);
+        while (recorded != recorded_end && recorded->first < id) ++recorded;
+        if (recorded != recorded_end && recorded->first == id) {
+            machine.recorded_attempts = &recorded->second.tasks;
+            machine.free -= used_capacity.of(id, view, recorded->second);
         }
-        capacity.machines_.push_back(std::move(m));
-    }
-    if (memory != nullptr) {
-        memory->spare_uses = std::move(memory->uses);
-        memory->uses = std::move(uses);
+        capacity.machines_.push_back(std::move(machine));
     }
+    used_capacity.store();
     capacity.sorted_ = capacity.machines_.size();
-    // These sets are small beside the fleet.
-    const auto mark = [&](const std::string& id, auto&& change) {
-        if (const auto at = capacity.at(id); at != npos) change(capacity.machines_[at]);
-    };
-    for (const auto& id : a.draining) {
-        mark(id, [](MachineCapacity& m) {
-            m.draining = true;
-            m.usable = false;
-        });
+    capacity.mark_restrictions(availability);
+    return capacity;
+}
+
+void FreeCapacity::mark_restrictions(const Availability& availability) {
+    // These sets are small beside the fleet, so each id is searched for.
+    for (const auto& id : availability.draining) {
+        if (MachineCapacity* machine = find_mutable(id)) {
+            machine->draining = true;
+            machine->usable = false;
+        }
     }
-    for (const auto& id : a.candidates) mark(id, [](MachineCapacity& m) { m.candidate = true; });
-    for (const auto& [id, until] : a.banned_until) {
-        if (until > a.now) mark(id, [](MachineCapacity& m) { m.usable = false; });
+    for (const auto& id : availability.candidates) {
+        if (MachineCapacity* machine = find_mutable(id)) machine->candidate = true;
+    }
+    for (const auto& [id, until] : availability.banned_until) {
+        if (until <= availability.now) continue;
+        if (MachineCapacity* machine = find_mutable(id)) machine->usable = false;
     }
-    return capacity;
 }
 
-void FreeCapacity::recycle(FreeCapacityCache& memory) {
-    memory.spare_machines = std::move(machines_);
+void FreeCapacity::recycle(FreeCapacityCache& cache) {
+    cache.spare_machines = std::move(machines_);
     machines_.clear();
     sorted_ = 0;
-    trail_.clear();
+    changes_.clear();
 }
 
 std::size_t FreeCapacity::at(const std::string& id) const {
-    const auto end = machines_.begin() + static_cast<std::ptrdiff_t>(sorted_);
-    const auto it = std::lower_bound(machines_.begin(), end, id,
-                                     [](const MachineCapacity& m, const std::string& i) { return m.id < i; });
-    if (it != end && it->id == id) return static_cast<std::size_t>(it - machines_.begin());
-    for (std::size_t i = sorted_; i < machines_.size(); ++i) {
-        if (machines_[i].id == id) return i;
+    const auto sorted_end = machines_.begin() + static_cast<std::ptrdiff_t>(sorted_);
+    const auto found = std::lower_bound(
+        machines_.begin(), sorted_end, id,
+        [](const MachineCapacity& machine, const std::string& wanted) { return machine.id < wanted; });
+    if (found != sorted_end && found->id == id) return static_cast<std::size_t>(found - machines_.begin());
+    for (std::size_t position = sorted_; position < machines_.size(); ++position) {
+        if (machines_[position].id == id) return position;
     }
     return npos;
 }
 
 const MachineCapacity* FreeCapacity::find(const std::string& id) const {
-    const auto i = at(id);
-    return i == npos ? nullptr : &machines_[i];
+    const auto position = at(id);
+    return position == npos ? nullptr : &machines_[position];
 }
 
-std::size_t FreeCapacity::add(MachineCapacity m) {
-    machines_.push_back(std::move(m));
+MachineCapacity* FreeCapacity::find_mutable(const std::string& id) {
+    const auto position = at(id);
+    return position == npos ? nullptr : &machines_[position];
+}
+
+std::size_t FreeCapacity::add(MachineCapacity machine) {
+    machines_.push_back(std::move(machine));
     return machines_.size() - 1;
 }
 
-void FreeCapacity::take(std::size_t at, const Resources& resources) {
-    machines_[at].free -= resources;
-    trail_.emplace_back(at, resources);
+void FreeCapacity::take(std::size_t position, const Resources& resources) {
+    machines_[position].free -= resources;
+    changes_.push_back({position, resources});
 }
 
-void FreeCapacity::give(std::size_t at, const Resources& resources) { take(at, resources * -1.0); }
+void FreeCapacity::give(std::size_t position, const Resources& resources) {
+    take(position, resources * -1.0);
+}
 
-void FreeCapacity::revert(std::size_t to) {
-    while (trail_.size() > to) {
-        machines_[trail_.back().first].free += trail_.back().second;
-        trail_.pop_back();
+void FreeCapacity::revert(std::size_t mark) {
+    while (changes_.size() > mark) {
+        machines_[changes_.back().position].free += changes_.back().taken;
+        changes_.pop_back();
     }
 }
 
-ZoneUse ZoneUse::of(const JobEntry& e, const FreeCapacity& capacity) {
-    ZoneUse z;
+ZoneUse ZoneUse::of(const JobEntry& entry, const FreeCapacity& capacity) {
+    ZoneUse use;
     // Without a rule on zones nobody asks.
-    if (!e.job.spread && !e.job.one_zone) return z;
-    for (const auto& [i, c] : e.chunks) {
-        for (const auto& [task, a] : c.open) {
-            const MachineCapacity* m = capacity.find(a.machine);
-            ++z.total;
-            if (m == nullptr) {
-                ++z.unknown;
+    if (!entry.job.spread && !entry.job.one_zone) return use;
+    for (const auto& [index, chunk] : entry.chunks) {
+        for (const auto& [task, attempt] : chunk.open) {
+            const MachineCapacity* machine = capacity.find(attempt.machine);
+            ++use.total;
+            if (machine == nullptr) {
+                ++use.unknown;
             } else {
-                ++z.by_zone[m->zone];
+                ++use.by_zone[machine->zone];
             }
         }
     }
-    return z;
+    return use;
 }
 
-bool ZoneUse::allows(const Job& j, const std::string& zone) const {
-    if (!j.spread && !j.one_zone) return true;
-    const auto it = by_zone.find(zone);
-    const std::uint32_t here = it == by_zone.end() ? 0 : it->second;
-    if (j.one_zone && total != here) return false;
-    return !j.spread || here + unknown < j.zone_cap();
+bool ZoneUse::allows(const Job& job, const std::string& zone) const {
+    if (!job.spread && !job.one_zone) return true;
+    const auto known = by_zone.find(zone);
+    const std::uint32_t here = known == by_zone.end() ? 0 : known->second;
+    if (job.one_zone && total != here) return false;
+    return !job.spread || here + unknown < job.zone_cap();
 }
 
-bool may_run_on(const Job& j, const MachineCapacity& m) {
-    if (m.spot && !j.spot) return false;
-    if (j.zone && *j.zone != m.zone) return false;
-    return j.allows_type(m.type->name);
+bool may_run_on(const Job& job, const MachineCapacity& machine) {
+    if (machine.spot && !job.spot) return false;
+    if (job.zone && *job.zone != machine.zone) return false;
+    return job.allows_type(machine.type->name);
 }
 
 }  // namespace hatchwind::core
--- a/src/core/free_capacity.hpp
+++ b/src/core/free_capacity.hpp
@@ -1,8 +1,9 @@
-// FreeCapacity on the machines as this node sees it: the replica in which placements are tried, kept or taken
-// back.
+/// Free capacity of the machines as this controller sees it: a working copy in which placements are tried,
+/// kept or reverted.
 #pragma once
 
-#include <functional>
+#include <cstdint>
+#include <map>
 #include <optional>
 #include <set>
 #include <string>
@@ -11,91 +12,110 @@
 
 #include "core/cluster_view.hpp"
 #include "core/job_table.hpp"
-#include "core/model.hpp"
+#include "core/machine.hpp"
 
 namespace hatchwind::core {
 
+/// One machine in the working copy. Pointers are to the cluster view, job table and catalog that it was built
+/// from, which have to outlive it.
 struct MachineCapacity {
     std::string id;
     const MachineType* type = nullptr;
-    const MachineView* view = nullptr;  // null for a machine that is still booting or only planned
+    const MachineView* view = nullptr;  ///< null for a machine that is still booting or only planned
     std::string zone;
     bool spot = false;
-    bool usable = true;      // takes new tasks at all
-    bool draining = false;   // never a destination
-    bool candidate = false;  // a destination of last resort
-    Resources free;
+    bool usable = true;      ///< takes new tasks at all
+    bool draining = false;   ///< never a destination
+    bool candidate = false;  ///< of the drain planner: a destination of last resort
+    Resources free;          ///< negative where reservations exceed what there is
     std::uint64_t incarnation = 0;
-    const RecordedAttempts* recorded_attempts = nullptr;  // recorded on it; null when there are none
+    const RecordedAttempts* recorded_attempts = nullptr;  ///< on this machine; null when there are none
 
+    /// Used part of its CPUs.
     double use() const { return type->size.cpus <= 0 ? 0 : 1 - free.cpus / type->size.cpus; }
     double price() const { return spot ? type->spot_price : type->price; }
     bool has_image(const std::string& image) const { return view != nullptr && view->images.contains(image); }
 };
 
-// What makes a machine unhealthy to take tasks now; filled in by whoever builds the capacity.
+/// What keeps machines from taking tasks now; filled in by whoever builds the free capacity.
 struct Availability {
-    Micros now{};           // steady
-    Micros silent_after{};  // a machine without news for this long takes nothing new
-    // Time of day: a machine of which no report was answered since then takes nothing new either.
+    Micros now{};           ///< monotonic clock
+    Micros silent_after{};  ///< a machine without a heartbeat for this long takes nothing new
+    /// Wall clock: a machine with no heartbeat answered since then takes nothing new either.
     Micros heard_since = Micros::min();
     std::set<std::string> draining;
-    std::set<std::string> candidates;
-    std::map<std::string, Micros> banned_until;  // steady: machines on which tasks failed or were refused
+    std::set<std::string> candidates;            ///< of the drain planner
+    std::map<std::string, Micros> banned_until;  ///< monotonic clock: where tasks failed or were refused
 };
 
-// What recorded attempts use on each machine, as it was last built. A pass builds the free capacity anew, and
-// most machines are as they were in the one before.
+/// What recorded attempts use on each machine, as it was last built. A placement pass builds the free
+/// capacity anew, and most machines are as they were in the pass before.
 struct FreeCapacityCache {
     struct Use {
         std::string machine;
         std::uint64_t incarnation = 0;
         std::uint64_t content_sequence = 0;
-        std::uint64_t version = 0;  // of the job table's record
+        std::uint64_t version = 0;  ///< MachineTasks::version
         Resources amount;
     };
-    std::vector<Use> uses;  // in the machines' order
-    // Memory for the next one: large blocks that come and go with every pass make the allocator tidy up.
+    std::vector<Use> uses;  ///< in ascending order of machines
+    /// Memory for the next pass: large blocks that come and go with every pass are costly for the allocator.
     std::vector<Use> spare_uses;
     std::vector<MachineCapacity> spare_machines;
 };
 
 class FreeCapacity {
   public:
-    static FreeCapacity build(const ClusterView& p, const JobTable& l, const Catalog& c,
-                              const Availability& a, FreeCapacityCache* memory = nullptr);
+    static constexpr std::size_t npos = static_cast<std::size_t>(-1);
+
+    /// Machines of the cluster view whose type is in the catalog, in order of their ids. `cache` may be null;
+    /// otherwise it is read and brought up to date.
+    static FreeCapacity build(const ClusterView& cluster_view, const JobTable& job_table,
+                              const Catalog& catalog, const Availability& availability,
+                              FreeCapacityCache* cache = nullptr);
 
     std::vector<MachineCapacity>& machines() { return machines_; }
     const std::vector<MachineCapacity>& machines() const { return machines_; }
-    static constexpr std::size_t npos = static_cast<std::size_t>(-1);
-    std::size_t at(const std::string& id) const;  // npos when it is not there
+    /// Position of the machine in machines(); npos when it is not there.
+    std::size_t at(const std::string& id) const;
+    /// Null when it is not there.
     const MachineCapacity* find(const std::string& id) const;
-    std::size_t add(MachineCapacity m);
+    /// Adds a machine behind all others; returns its position.
+    std::size_t add(MachineCapacity machine);
 
-    // Leaves its memory to the next one; it is empty afterwards.
-    void recycle(FreeCapacityCache& memory);
+    /// Leaves its memory to the next pass; it is empty afterwards.
+    void recycle(FreeCapacityCache& cache);
 
-    void take(std::size_t at, const Resources& resources);
-    void give(std::size_t at, const Resources& resources);
-    // Trials nest by position: revert(mark()) takes back all that came after.
-    std::size_t mark() const { return trail_.size(); }
-    void revert(std::size_t to);
+    void take(std::size_t position, const Resources& resources);
+    void give(std::size_t position, const Resources& resources);
+    /// Trials nest: revert(mark()) undoes all that was taken or given since. Added machines stay.
+    std::size_t mark() const { return changes_.size(); }
+    void revert(std::size_t mark);
 
   private:
+    struct Change {
+        std::size_t position;
+        Resources taken;
+    };
+    void mark_restrictions(const Availability& availability);
+    MachineCapacity* find_mutable(const std::string& id);
+
     std::vector<MachineCapacity> machines_;
-    std::size_t sorted_ = 0;  // so many at the front are in order of their names
-    std::vector<std::pair<std::size_t, Resources>> trail_;
+    std::size_t sorted_ = 0;  // so many at the front are in order of their ids
+    std::vector<Change> changes_;
 };
 
-// Where the tasks of one job are, for its zone rules. Tasks on machines that this node does not know
-// count in every zone: the rules hold wherever they are.
+/// Where the tasks of one job are, for its zone rules. Tasks on machines that this controller does not know
+/// count in every zone: the rules hold wherever they are.
 struct ZoneUse {
     std::map<std::string, std::uint32_t> by_zone;
     std::uint32_t unknown = 0;
     std::uint32_t total = 0;
 
-    static ZoneUse of(const JobEntry& e, const FreeCapacity& capacity);
-    bool allows(const Job& j, const std::string& zone) const;
+    /// Empty for a job without zone rules.
+    static ZoneUse of(const JobEntry& entry, const FreeCapacity& capacity);
+    /// One more task of the job may run in the zone.
+    bool allows(const Job& job, const std::string& zone) const;
     void add(const std::string& zone) {
         ++by_zone[zone];
         ++total;
@@ -106,18 +126,20 @@
     }
 };
 
-// Type, zone and kind of machine; free capacity and the job's other tasks are separate questions.
-bool may_run_on(const Job& j, const MachineCapacity& m);
-// Takes one more task of it now, its zone rules apart.
-inline bool has_capacity_for(const Job& j, const MachineCapacity& m) {
-    return m.usable && !m.draining && j.resources.fits_in(m.free) && may_run_on(j, m);
+/// Type, zone and kind of the machine suit the job; free capacity and the job's other tasks are separate
+/// questions.
+bool may_run_on(const Job& job, const MachineCapacity& machine);
+/// The machine takes one more task of the job now, its zone rules apart.
+inline bool has_capacity_for(const Job& job, const MachineCapacity& machine) {
+    return machine.usable && !machine.draining && job.resources.fits_in(machine.free) &&
+           may_run_on(job, machine);
 }
 
-// What decides where a job's tasks may go, the zones of its other tasks apart.
+/// What decides where a job's tasks may go, the zones of its other tasks apart.
 using Shape = std::tuple<double, double, double, bool, std::optional<std::string>,
                          std::optional<std::vector<std::string>>>;
-inline Shape shape(const Job& j) {
-    return {j.resources.cpus, j.resources.gpus, j.resources.memory_gb, j.spot, j.zone, j.types};
+inline Shape shape(const Job& job) {
+    return {job.resources.cpus, job.resources.gpus, job.resources.memory_gb, job.spot, job.zone, job.types};
 }
 
 }  // namespace hatchwind::core
--- a/src/core/released_machines.cpp
+++ b/src/core/released_machines.cpp
@@ -4,23 +4,28 @@
 
 namespace hatchwind::core {
 
-bool ReleasedMachines::add(const std::string& machine, Micros now) {
-    if (!names_.insert(machine).second) return false;
-    order_.push_back({machine, now});
-    while (order_.size() > kMostKept || now - order_.front().released > kKeptFor) {
-        names_.erase(order_.front().machine);
+bool ReleasedMachines::add(const std::string& machine, Micros monotonic_now) {
+    if (!ids_.insert(machine).second) return false;
+    order_.push_back({machine, monotonic_now});
+    drop_old(monotonic_now);
+    return true;
+}
+
+void ReleasedMachines::drop_old(Micros monotonic_now) {
+    while (order_.size() > kMostKept || monotonic_now - order_.front().released_at > kKeptFor) {
+        ids_.erase(order_.front().machine);
         order_.pop_front();
-        ++dropped_;
+        ++first_position_;
     }
-    return true;
 }
 
-ReleasedMachines::News ReleasedMachines::since(std::uint64_t position, std::size_t most) const {
-    const std::uint64_t first = std::max(position, dropped_);
-    const std::uint64_t end = std::min<std::uint64_t>(first + most, dropped_ + order_.size());
+ReleasedMachines::News ReleasedMachines::since(std::uint64_t position, std::size_t limit) const {
+    const std::uint64_t first = std::max(position, first_position_);
+    const std::uint64_t end = std::min<std::uint64_t>(first + limit, first_position_ + order_.size());
     News news;
     news.position = std::max(first, end);
-    for (std::uint64_t i = first; i < end; ++i) news.machines.push_back(order_[i - dropped_].machine);
+    for (std::uint64_t next = first; next < end; ++next)
+        news.machines.push_back(order_[next - first_position_].machine);
     return news;
 }
 
--- a/src/core/released_machines.hpp
+++ b/src/core/released_machines.hpp
@@ -1,5 +1,5 @@
-// The machines that the cloud has confirmed as gone, in the order in which this node learned of it. Late
-// reports must not bring them back, and peers are told of them by their place in this order.
+/// The machines that the cloud has confirmed as gone, in the order in which this controller learned of it.
+/// Late heartbeats must not bring them back, and peers are told of them by their position in this order.
 #pragma once
 
 #include <cstddef>
@@ -9,38 +9,42 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/model.hpp"
+#include "core/time.hpp"
 
 namespace hatchwind::core {
 
 class ReleasedMachines {
   public:
-    // Messages may be minutes late, so names are kept by time. A name that was dropped comes back as a
-    // machine that never answers: it takes no tasks, its attempts count as open until their lease is over,
-    // and it is released once more.
+    /// How long an id is kept: messages may be minutes late. A machine whose id was dropped may come back as
+    /// one that never answers: it takes no tasks, its attempts count as open until their lease expires, and
+    /// it is released once more.
     static constexpr Micros kKeptFor{900'000'000};
-    // Bounds the memory (some 10 MB), several times the largest fleet.
+    /// How many ids are kept. Bounds the memory (some 10 MB); several times the largest fleet.
     static constexpr std::size_t kMostKept = 65'536;
 
+    /// Machines released since a position.
     struct News {
         std::vector<std::string> machines;
-        std::uint64_t position = 0;  // what to ask from next
+        std::uint64_t position = 0;  ///< from which to ask next
     };
 
-    // False when it is known already. `now`: steady.
-    bool add(const std::string& machine, Micros now);
-    bool contains(const std::string& machine) const { return names_.contains(machine); }
-    // The machines from that position on that are still kept, at most so many.
-    News since(std::uint64_t position, std::size_t most) const;
+    /// False when the machine is known as released already; its time is left as it was.
+    bool add(const std::string& machine, Micros monotonic_now);
+    bool contains(const std::string& machine) const { return ids_.contains(machine); }
+    /// The machines from that position on that are still kept, at most `limit` of them. Positions count from
+    /// 0, within one run of this controller.
+    News since(std::uint64_t position, std::size_t limit) const;
 
   private:
     struct Entry {
         std::string machine;
-        Micros released{};
+        Micros released_at{};  // monotonic clock
     };
-    std::unordered_set<std::string> names_;
+    void drop_old(Micros monotonic_now);
+
+    std::unordered_set<std::string> ids_;
     std::deque<Entry> order_;
-    std::uint64_t dropped_ = 0;  // position of the oldest one kept
+    std::uint64_t first_position_ = 0;  // of the oldest one kept
 };
 
 }  // namespace hatchwind::core
--- a/src/scaling/scale_in.cpp
+++ b/src/scaling/scale_in.cpp
@@ -52,7 +52,7 @@
 }
 
 Micros ScaleIn::silent_for(const std::string& machine, const core::MachineView& view, Micros now) const {
-    const Micros silent = now - view.changed;
+    const Micros silent = now - view.last_heartbeat_at;
     // One that only sends is as good as silent: nothing can be started or stopped on it.
     const ProbeState* probe = probes_.find(machine);
     if (!health_.healthy || probe == nullptr || probe->unanswered_since.count() == 0) return silent;
--- a/src/scaling/scaling_controller.cpp
+++ b/src/scaling/scaling_controller.cpp
@@ -120,7 +120,8 @@
     std::vector<std::string> vanished;
     if (now - term_began_ <= settled) return vanished;
     for (const auto& [machine, view] : context_.workers.cluster_view().machines()) {
-        if (!inventory_.contains(machine) && now - view.changed > settled) vanished.push_back(machine);
+        if (!inventory_.contains(machine) && now - view.last_heartbeat_at > settled)
+            vanished.push_back(machine);
     }
     return vanished;
 }
--- a/src/scheduling/attempt_reconciler.cpp
+++ b/src/scheduling/attempt_reconciler.cpp
@@ -56,7 +56,7 @@
     // Whatever its last report said of its tasks: when many machines fall silent at once nobody releases
     // them, and what ran on them has ended with their leases. One that reports has a lease.
     const double quiet_s = std::max(kLeastQuietSeconds, settings_.report_s * kQuietReports);
-    const bool quiet = view == nullptr || now - view->changed > core::from_seconds(quiet_s);
+    const bool quiet = view == nullptr || now - view->last_heartbeat_at > core::from_seconds(quiet_s);
     return {view, quiet, now};
 }
 
--- a/src/scheduling/command_dispatcher.cpp
+++ b/src/scheduling/command_dispatcher.cpp
@@ -113,7 +113,7 @@
 void CommandDispatcher::stop_orphans(const std::string& machine, const core::MachineView& view, Micros now,
                                      OrphanTasks& seen) {
     // A silent machine's last report may list what its lease has ended since.
-    const bool heard = now - view.changed < workers_.stale_heartbeat_threshold();
+    const bool heard = now - view.last_heartbeat_at < workers_.stale_heartbeat_threshold();
     for (const auto& listed : view.last_heartbeat.tasks) {
         if (!is_orphan(machine, listed)) continue;
         stop_orphan({machine, listed.job, listed.task, listed.attempt}, view, listed.state, heard, seen);
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -95,7 +95,7 @@
 std::vector<io::Address> ReachabilityMonitor::recently_heard(Micros within) const {
     std::vector<io::Address> addresses;
     for (const auto& [machine, view] : context_.workers.cluster_view().machines()) {
-        if (steady_now() - view.changed > within) continue;
+        if (steady_now() - view.last_heartbeat_at > within) continue;
         if (const auto address = io::parse_address(view.last_heartbeat.address))
             addresses.push_back(*address);
     }
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -77,8 +77,8 @@
             }
             const auto* m = p.find("n-1");
             RC_ASSERT(m != nullptr && same_tasks(m->last_heartbeat, history[newest]));
-            RC_ASSERT(m->changed == changed);  // a copy is no sign of life
-            RC_ASSERT(!m->confirmed);          // and however many come, they prove none
+            RC_ASSERT(m->last_heartbeat_at == changed);  // a copy is no sign of life
+            RC_ASSERT(!m->confirmed);                    // and however many come, they prove none
             for (const auto& r : history) {
                 for (const auto& t : r.tasks) {
                     const auto v = core::view_attempt(p, t.job, t.task, {t.attempt, "n-1", r.incarnation});
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -88,7 +88,7 @@
     std::size_t silent_to_release() const {
         std::vector<core::SilentMachine> all;
         for (const auto& [id, m] : c.cluster_view.machines())
-            all.push_back({id, at(now) - m.changed, !c.job_table.on_machine(id).empty()});
+            all.push_back({id, at(now) - m.last_heartbeat_at, !c.job_table.on_machine(id).empty()});
         return core::releasable(all, Micros{1'000'000LL * (2 * kReport + 8)}, 0).size();
     }
     std::uint32_t left() const {
