--- a/src/core/drain_planner.cpp
+++ b/src/core/drain_planner.cpp
@@ -4,229 +4,319 @@
 #include <cmath>
 #include <tuple>
 #include <unordered_map>
+#include <utility>
 
 namespace hatchwind::core {
 
 namespace {
 
-// How many more tasks of a service may be down at once: a quarter of its replicas, at least one, less those
-// that are down already.
-int stop_quota(const JobEntry& e) {
-    if (e.job.kind != JobKind::service) return static_cast<int>(e.job.tasks);
-    const int down = static_cast<int>(e.unstarted());
-    return std::max(1, static_cast<int>(e.job.tasks) / 4) - down;
+// Of a service's replicas, the part that may be down at once.
+constexpr int kServiceDownDivisor = 4;
+// Machines whose use differs by less than a step count as equally used.
+constexpr double kUseSteps = 10;
+
+// How many more tasks of a job may be stopped: for a service a quarter of its replicas, at least one, less
+// those that are down already.
+int stop_quota(const JobEntry& entry) {
+    const int tasks = static_cast<int>(entry.job.tasks);
+    if (entry.job.kind != JobKind::service) return tasks;
+    const int down = static_cast<int>(entry.unstarted());
+    return std::max(1, tasks / kServiceDownDivisor) - down;
 }
 
-class Trial {
+bool has_zone_rules(const Job& job) { return job.spread || job.one_zone; }
+
+// Moves tasks in the working copy. Trials nest by position, as those of the free capacity do: copies of whole
+// maps for each trial were quadratic in the fleet.
+class MoveTrial {
   public:
-    Trial(const DrainInput& in, FreeCapacity& capacity, DrainState& state)
-        : in_(in), capacity_(capacity), state_(state) {}
-
-    // Finds a home for one task. Remembered destinations first, then from the list's far end.
-    bool healthy(const JobEntry& e, const TaskRef& ref, const std::string& from,
-                 const std::set<std::string>& skip) {
-        if (const auto hint = state_.destinations.find(ref); hint != state_.destinations.end()) {
-            const auto at = capacity_.at(hint->second);
-            if (at != FreeCapacity::npos && fits(e, at, from, skip)) return take(e, ref, at);
+    MoveTrial(FreeCapacity& capacity, const std::map<TaskRef, std::string>& remembered)
+        : capacity_(capacity), remembered_(remembered) {}
+
+    // Finds a new place for one task: the remembered destination first, then from the list's far end. False
+    // when there is none.
+    bool relocate(const JobEntry& entry, const TaskRef& ref, const std::string& from,
+                  const std::set<std::string>& excluded) {
+        if (const auto hint = remembered_.find(ref); hint != remembered_.end()) {
+            const auto position = capacity_.at(hint->second);
+            if (position != FreeCapacity::npos && fits(entry, position, from, excluded)) {
+                place(entry, ref, position);
+                return true;
+            }
         }
-        for (std::size_t i = capacity_.machines().size(); i-- > 0;) {
-            if (fits(e, i, from, skip)) return take(e, ref, i);
+        for (std::size_t position = capacity_.machines().size(); position-- > 0;) {
+            if (!fits(entry, position, from, excluded)) continue;
+            place(entry, ref, position);
+            return true;
         }
         return false;
     }
-    void leave(const JobEntry& e, const std::string& zone) {
-        if (!e.job.spread && !e.job.one_zone) return;
-        zone_use(e).remove(zone);
-        moves_.push_back({&e, zone, false});
+    // A task of the job leaves its zone.
+    void leave(const JobEntry& entry, const std::string& zone) {
+        if (!has_zone_rules(entry.job)) return;
+        zone_use(entry).remove(zone);
+        zone_moves_.push_back({&entry, zone, false});
     }
-    // One more of this job's tasks is down; false when its quota forbids that.
-    bool stop(const JobEntry& e) {
-        quota_journal_.push_back(&e);
-        return --quota_of(e) >= 0;
+    // One more of the job's tasks is down; false when its quota forbids that.
+    bool stop(const JobEntry& entry) {
+        stops_.push_back(&entry);
+        return --quota_of(entry) >= 0;
     }
-    bool takes_tasks(const std::string& machine) const { return taking_.contains(machine); }
+    bool is_destination(const std::string& machine) const { return tasks_placed_on_.contains(machine); }
+    std::map<TaskRef, std::string> release_destinations() { return std::move(destinations_); }
 
-    // Trials nest by position, as those of the free capacity do. Copies of whole maps for each trial were
-    // quadratic in the fleet.
     struct Mark {
-        std::size_t capacity, moves, destinations, quota;
+        std::size_t capacity, zone_moves, placed, stops;
     };
-    Mark mark() const { return {capacity_.mark(), moves_.size(), placed_.size(), quota_journal_.size()}; }
-    void revert(const Mark& m) {
-        capacity_.revert(m.capacity);
-        for (; moves_.size() > m.moves; moves_.pop_back()) {
-            auto& z = zone_use(*moves_.back().entry);
-            if (moves_.back().added) {
-                z.remove(moves_.back().zone);
-            } else {
-                z.add(moves_.back().zone);
-            }
-        }
-        for (; placed_.size() > m.destinations; placed_.pop_back()) {
-            const auto it = destinations.find(placed_.back());
-            const auto count = taking_.find(it->second);
-            if (--count->second == 0) taking_.erase(count);
-            destinations.erase(it);
-        }
-        for (; quota_journal_.size() > m.quota; quota_journal_.pop_back()) ++quota_of(*quota_journal_.back());
+    Mark mark() const { return {capacity_.mark(), zone_moves_.size(), placed_.size(), stops_.size()}; }
+    void revert(const Mark& mark) {
+        capacity_.revert(mark.capacity);
+        for (; zone_moves_.size() > mark.zone_moves; zone_moves_.pop_back()) undo(zone_moves_.back());
+        for (; placed_.size() > mark.placed; placed_.pop_back()) undo_placement(placed_.back());
+        for (; stops_.size() > mark.stops; stops_.pop_back()) ++quota_of(*stops_.back());
     }
 
-    std::map<TaskRef, std::string> destinations;
-
   private:
-    struct Move {
+    struct ZoneMove {
         const JobEntry* entry;
         std::string zone;
         bool added;
     };
-    ZoneUse& zone_use(const JobEntry& e) {
-        const auto [it, fresh] = zones_.try_emplace(&e);
-        if (fresh) it->second = ZoneUse::of(e, capacity_);
-        return it->second;
-    }
-    int& quota_of(const JobEntry& e) {
-        const auto [it, fresh] = quota_.try_emplace(&e, 0);
-        if (fresh) it->second = stop_quota(e);
-        return it->second;
-    }
-    bool fits(const JobEntry& e, std::size_t at, const std::string& from, const std::set<std::string>& skip) {
-        const MachineCapacity& m = capacity_.machines()[at];
-        return has_capacity_for(e.job, m) && m.id != from && !skip.contains(m.id) &&
-               ((!e.job.spread && !e.job.one_zone) || zone_use(e).allows(e.job, m.zone));
-    }
-    bool take(const JobEntry& e, const TaskRef& ref, std::size_t at) {
-        const MachineCapacity& m = capacity_.machines()[at];
-        capacity_.take(at, e.job.resources);
-        if (e.job.spread || e.job.one_zone) {
-            zone_use(e).add(m.zone);
-            moves_.push_back({&e, m.zone, true});
+
+    ZoneUse& zone_use(const JobEntry& entry) {
+        const auto [known, is_new] = zones_.try_emplace(&entry);
+        if (is_new) known->second = ZoneUse::of(entry, capacity_);
+        return known->second;
+    }
+    int& quota_of(const JobEntry& entry) {
+        const auto [known, is_new] = quota_.try_emplace(&entry, 0);
+        if (is_new) known->second = stop_quota(entry);
+        return known->second;
+    }
+    bool fits(const JobEntry& entry, std::size_t position, const std::string& from,
+              const std::set<std::string>& excluded) {
+        const MachineCapacity& machine = capacity_.machines()[position];
+        if (!has_capacity_for(entry.job, machine)) return false;
+        if (machine.id == from || excluded.contains(machine.id)) return false;
+        return !has_zone_rules(entry.job) || zone_use(entry).allows(entry.job, machine.zone);
+    }
+    void place(const JobEntry& entry, const TaskRef& ref, std::size_t position) {
+        const MachineCapacity& machine = capacity_.machines()[position];
+        capacity_.take(position, entry.job.resources);
+        if (has_zone_rules(entry.job)) {
+            zone_use(entry).add(machine.zone);
+            zone_moves_.push_back({&entry, machine.zone, true});
         }
-        if (destinations.emplace(ref, m.id).second) {
+        if (destinations_.emplace(ref, machine.id).second) {
             placed_.push_back(ref);
-            ++taking_[m.id];
+            ++tasks_placed_on_[machine.id];
         }
-        return true;
+    }
+    void undo(const ZoneMove& move) {
+        ZoneUse& use = zone_use(*move.entry);
+        if (move.added) {
+            use.remove(move.zone);
+        } else {
+            use.add(move.zone);
+        }
+    }
+    void undo_placement(const TaskRef& ref) {
+        const auto destination = destinations_.find(ref);
+        const auto count = tasks_placed_on_.find(destination->second);
+        if (--count->second == 0) tasks_placed_on_.erase(count);
+        destinations_.erase(destination);
     }
 
-    const DrainInput& in_;
     FreeCapacity& capacity_;
-    DrainState& state_;
+    const std::map<TaskRef, std::string>& remembered_;
+    std::map<TaskRef, std::string> destinations_;
     std::unordered_map<const JobEntry*, ZoneUse> zones_;
     std::unordered_map<const JobEntry*, int> quota_;
-    std::unordered_map<std::string, std::size_t> taking_;  // machine -> tasks that the trial puts there
-    std::vector<Move> moves_;
+    std::unordered_map<std::string, std::size_t> tasks_placed_on_;  // by machine
+    std::vector<ZoneMove> zone_moves_;
     std::vector<TaskRef> placed_;
-    std::vector<const JobEntry*> quota_journal_;
+    std::vector<const JobEntry*> stops_;
 };
 
-}  // namespace
+class DrainPlanner {
+  public:
+    DrainPlanner(const DrainSettings& settings, const DrainInput& input, FreeCapacity& capacity,
+                 DrainState& state)
+        : settings_(settings),
+          input_(input),
+          capacity_(capacity),
+          state_(state),
+          trial_(capacity, state.destinations) {}
 
-// Not split yet: its steps share one trial.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity)
-DrainResult plan_drains(const DrainSettings& s, const DrainInput& in, FreeCapacity capacity,
-                        DrainState& state) {
-    DrainResult out;
-    std::erase_if(state.recent_stops, [&](const auto& r) { return in.now - r.second >= s.recent_stop; });
-    Trial trial{in, capacity, state};
-    const auto hold = [&] {
-        state.candidate_since.clear();
-        state.destinations = std::move(trial.destinations);
-        out.recorded_attempts = true;
-        return out;
+    DrainResult run() {
+        std::erase_if(state_.recent_stops,
+                      [&](const auto& stop) { return input_.now - stop.second >= settings_.recent_stop; });
+        DrainResult result;
+        // What is being drained, and what was stopped and has no new place yet, must fit first.
+        result.blocked = !relocate_draining() || !relocate_recently_stopped();
+        if (result.blocked) {
+            state_.candidate_since.clear();
+        } else {
+            remember_candidates(find_candidates());
+        }
+        state_.destinations = trial_.release_destinations();
+        if (!result.blocked) choose_due(result);
+        return result;
+    }
+
+  private:
+    // Less used first: empty machines cost nothing to release. Among equals the most expensive for its CPUs,
+    // since caps and stop quotas may leave the rest standing.
+    struct EligibleMachine {
+        double use_step;
+        double negative_price_per_cpu;
+        std::string id;
+        bool operator<(const EligibleMachine& other) const {
+            return std::tie(use_step, negative_price_per_cpu, id) <
+                   std::tie(other.use_step, other.negative_price_per_cpu, other.id);
+        }
     };
 
-    // What is being drained, and what was stopped and has no new place yet, must fit first.
-    for (const auto& id : in.draining) {
-        const MachineCapacity* from = capacity.find(id);
-        for (const auto& [ref, recorded_attempts] : in.job_table->on_machine(id)) {
-            const JobEntry* e = recorded_attempts.entry;
-            if (from != nullptr) trial.leave(*e, from->zone);
-            (void)trial.stop(*e);
-            if (!trial.healthy(*e, ref, id, {})) return hold();
+    bool relocate_draining() {
+        for (const auto& id : input_.draining) {
+            const MachineCapacity* from = capacity_.find(id);
+            for (const auto& [ref, recorded] : input_.job_table->on_machine(id)) {
+                if (from != nullptr) trial_.leave(*recorded.entry, from->zone);
+                // These are stopped whatever the quota says: it only counts them.
+                (void)trial_.stop(*recorded.entry);
+                if (!trial_.relocate(*recorded.entry, ref, id, {})) return false;
+            }
+        }
+        return true;
+    }
+
+    bool relocate_recently_stopped() {
+        const auto& stops = state_.recent_stops;
+        return std::all_of(stops.begin(), stops.end(), [&](const auto& stop) {
+            const TaskRef& ref = stop.first;
+            const JobEntry* entry = input_.job_table->find(ref.job);
+            if (entry == nullptr || !needs_place(*entry, ref)) return true;
+            return trial_.relocate(*entry, ref, "", {});
+        });
+    }
+
+    bool needs_place(const JobEntry& entry, const TaskRef& ref) const {
+        if (entry.job.cancelled || input_.job_table->open_attempt(ref.job, ref.task) != nullptr) return false;
+        const auto chunk = entry.chunks.find(ref.task / kChunkTasks);
+        return chunk == entry.chunks.end() || !chunk->second.done.contains(ref.task);
+    }
+
+    bool has_no_tasks(const std::string& machine) const {
+        return input_.job_table->on_machine(machine).empty();
+    }
+
+    bool is_eligible(const MachineCapacity& machine) const {
+        if (machine.view == nullptr || machine.draining) return false;
+        if (input_.protected_machines.contains(machine.id)) return false;
+        // A machine that takes nothing new may still be released; an unresponsive one without tasks is left
+        // to failure detection.
+        if (!machine.usable && !machine.view->notice_until && has_no_tasks(machine.id)) return false;
+        return machine.use() < settings_.use_threshold;
+    }
+
+    std::vector<EligibleMachine> eligible_machines() const {
+        std::vector<EligibleMachine> eligible;
+        for (const auto& machine : capacity_.machines()) {
+            if (!is_eligible(machine)) continue;
+            const double price_per_cpu = machine.price() / std::max(machine.type->size.cpus, 1.0);
+            eligible.push_back({std::round(machine.use() * kUseSteps), -price_per_cpu, machine.id});
         }
+        std::sort(eligible.begin(), eligible.end());
+        return eligible;
     }
-    for (const auto& [ref, when] : state.recent_stops) {
-        const JobEntry* e = in.job_table->find(ref.job);
-        if (e == nullptr || e->job.cancelled || in.job_table->open_attempt(ref.job, ref.task) != nullptr)
-            continue;
-        const auto c = e->chunks.find(ref.task / kChunkTasks);
-        if (c != e->chunks.end() && c->second.done.contains(ref.task)) continue;
-        if (!trial.healthy(*e, ref, "", {})) return hold();
-    }
-
-    // Least used first: empty machines cost nothing to give back. Among equals the dearest, since caps and
-    // stop quotas may leave the rest standing.
-    std::vector<std::tuple<double, double, std::string>> eligible;
-    for (const auto& m : capacity.machines()) {
-        if (m.view == nullptr || m.draining || in.protected_machines.contains(m.id)) continue;
-        // A machine that takes nothing new may still be returned; a silent one is another duty's business.
-        if (!m.usable && !m.view->notice_until && in.job_table->on_machine(m.id).empty()) continue;
-        if (m.use() < s.use_threshold)
-            eligible.emplace_back(std::round(m.use() * 10), -m.price() / std::max(m.type->size.cpus, 1.0),
-                                  m.id);
-    }
-    std::sort(eligible.begin(), eligible.end());
-    const std::size_t standing = capacity.machines().size() - in.draining.size();
-    std::set<std::string> candidates;
-    for (const auto& [use, price, id] : eligible) {
-        if (in.out_of_time()) break;
-        if (standing - candidates.size() <= s.fleet_minimum) break;
-        const MachineCapacity* from = capacity.find(id);
-        const auto mark = trial.mark();
-        // A machine that takes tasks in this very trial is needed.
-        bool ok = !trial.takes_tasks(id);
-        for (const auto& [ref, recorded_attempts] : in.job_table->on_machine(id)) {
-            if (!ok) break;
-            const JobEntry* e = recorded_attempts.entry;
-            if (e->job.kind == JobKind::gang || !trial.stop(*e)) {
-                ok = false;
-                break;
+
+    std::set<std::string> find_candidates() {
+        const std::vector<EligibleMachine> eligible = eligible_machines();
+        const std::size_t standing = capacity_.machines().size() - input_.draining.size();
+        std::set<std::string> candidates;
+        for (const auto& machine : eligible) {
+            if (input_.out_of_time()) break;
+            if (standing - candidates.size() <= settings_.fleet_minimum) break;
+            const auto mark = trial_.mark();
+            if (can_vacate(machine.id, candidates)) {
+                candidates.insert(machine.id);
+            } else {
+                trial_.revert(mark);
             }
-            trial.leave(*e, from->zone);
-            ok = trial.healthy(*e, ref, id, candidates);
         }
-        if (ok) {
-            candidates.insert(id);
-        } else {
-            trial.revert(mark);
+        return candidates;
+    }
+
+    // All tasks of the machine may be stopped, and fit on machines that are no candidates themselves.
+    bool can_vacate(const std::string& id, const std::set<std::string>& candidates) {
+        // A machine on which this very trial places tasks is needed.
+        if (trial_.is_destination(id)) return false;
+        const MachineCapacity* from = capacity_.find(id);
+        const RecordedAttempts& attempts = input_.job_table->on_machine(id);
+        return std::all_of(attempts.begin(), attempts.end(), [&](const auto& attempt) {
+            const JobEntry& entry = *attempt.second.entry;
+            if (entry.job.kind == JobKind::gang || !trial_.stop(entry)) return false;
+            trial_.leave(entry, from->zone);
+            return trial_.relocate(entry, attempt.first, id, candidates);
+        });
+    }
+
+    void remember_candidates(const std::set<std::string>& candidates) {
+        std::map<std::string, Micros> since;
+        for (const auto& id : candidates) {
+            const auto known = state_.candidate_since.find(id);
+            since[id] = known == state_.candidate_since.end() ? input_.now : known->second;
+        }
+        state_.candidate_since = std::move(since);
+    }
+
+    // Candidates that were unneeded for long enough, the most expensive first.
+    std::vector<std::string> due_candidates() const {
+        std::vector<std::string> due;
+        for (const auto& [id, since] : state_.candidate_since) {
+            if (input_.now - since >= settings_.unneeded) due.push_back(id);
+        }
+        std::stable_sort(due.begin(), due.end(), [&](const std::string& left, const std::string& right) {
+            return capacity_.find(left)->price() > capacity_.find(right)->price();
+        });
+        return due;
+    }
+
+    // Empty machines first; busy ones drain under a cap of their own.
+    void choose_due(DrainResult& result) {
+        const std::vector<std::string> due = due_candidates();
+        std::size_t draining = input_.draining.size();
+        std::size_t busy = 0;
+        for (const auto& id : input_.draining) busy += has_no_tasks(id) ? 0 : 1;
+        for (const auto& id : due) {
+            if (draining >= settings_.total_cap) break;
+            if (!has_no_tasks(id)) continue;
+            result.empty.push_back(id);
+            ++draining;
+        }
+        for (const auto& id : due) {
+            if (draining >= settings_.total_cap || busy >= settings_.busy_cap) break;
+            if (has_no_tasks(id)) continue;
+            result.busy.push_back(id);
+            ++draining;
+            ++busy;
         }
+        for (const auto& id : result.empty) state_.candidate_since.erase(id);
+        for (const auto& id : result.busy) state_.candidate_since.erase(id);
     }
 
-    std::map<std::string, Micros> since;
-    for (const auto& id : candidates) {
-        const auto old = state.candidate_since.find(id);
-        since[id] = old == state.candidate_since.end() ? in.now : old->second;
-    }
-    state.candidate_since = std::move(since);
-    state.destinations = std::move(trial.destinations);
-
-    // Empty ones first; busy drains under their own cap.
-    std::size_t under_way = in.draining.size();
-    std::size_t busy = 0;
-    for (const auto& id : in.draining) busy += in.job_table->on_machine(id).empty() ? 0 : 1;
-    std::vector<std::string> ripe;
-    for (const auto& [id, when] : state.candidate_since) {
-        if (in.now - when >= s.unneeded) ripe.push_back(id);
-    }
-    std::stable_sort(ripe.begin(), ripe.end(), [&](const std::string& a, const std::string& b) {
-        return capacity.find(a)->price() > capacity.find(b)->price();
-    });
-    for (const auto& id : ripe) {
-        if (under_way >= s.total_cap) break;
-        if (!in.job_table->on_machine(id).empty()) continue;
-        out.empty.push_back(id);
-        ++under_way;
-    }
-    for (const auto& id : ripe) {
-        if (under_way >= s.total_cap || busy >= s.busy_cap) break;
-        if (in.job_table->on_machine(id).empty()) continue;
-        out.busy.push_back(id);
-        ++under_way;
-        ++busy;
-    }
-    for (const auto& id : out.empty) state.candidate_since.erase(id);
-    for (const auto& id : out.busy) state.candidate_since.erase(id);
-    return out;
+    const DrainSettings& settings_;
+    const DrainInput& input_;
+    FreeCapacity& capacity_;
+    DrainState& state_;
+    MoveTrial trial_;
+};
+
+}  // namespace
+
+DrainResult plan_drains(const DrainSettings& settings, const DrainInput& input, FreeCapacity capacity,
+                        DrainState& state) {
+    return DrainPlanner{settings, input, capacity, state}.run();
 }
 
 }  // namespace hatchwind::core
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -197,10 +197,10 @@
     c.job_table.put_job(test::job("req-1", "x", 3, 4), 1);
     core::DrainState state;
     const auto in = drain_input(c);
-    EXPECT_FALSE(core::plan_drains({}, in, c.free_capacity(), state).recorded_attempts);
+    EXPECT_FALSE(core::plan_drains({}, in, c.free_capacity(), state).blocked);
     EXPECT_EQ(state.candidate_since.size(), 1U);
     for (std::uint32_t t = 0; t < 3; ++t) state.recent_stops[{"req-1", t}] = c.now;
-    EXPECT_TRUE(core::plan_drains({}, in, c.free_capacity(), state).recorded_attempts);
+    EXPECT_TRUE(core::plan_drains({}, in, c.free_capacity(), state).blocked);
     EXPECT_TRUE(state.candidate_since.empty());
 }
 
