--- a/src/core/scale_out_planner.cpp
+++ b/src/core/scale_out_planner.cpp
@@ -1,207 +1,259 @@
 #include "core/scale_out_planner.hpp"
 
 #include <algorithm>
-#include <cmath>
-#include <limits>
 #include <optional>
+#include <set>
+#include <string>
 #include <unordered_map>
+#include <utility>
 
 namespace hatchwind::core {
 
 namespace {
 
-// The estimate is the shard shard owner's and may be missing; a task of unknown length counts as a minute.
-double task_seconds(const Job& j) { return j.estimate_s > 0 ? j.estimate_s : 60; }
+// A task of unknown length counts as this long.
+constexpr double kUnknownTaskSeconds = 60;
+// An array's task never counts as shorter than this.
+constexpr double kLeastTaskSeconds = 1;
+constexpr double kMicrosPerSecond = 1e6;
+// Keeps the price for each used CPU finite for tasks that request none.
+constexpr double kLeastUsedCpus = 1e-3;
 
-class Planner {
+double to_seconds(Micros duration) { return static_cast<double>(duration.count()) / kMicrosPerSecond; }
+
+// The estimate is the user's and may be missing.
+double task_seconds(const Job& job) { return job.estimate_s > 0 ? job.estimate_s : kUnknownTaskSeconds; }
+
+MachineCapacity new_machine(std::string id, const MachineType& type, const std::string& zone, bool spot) {
+    MachineCapacity machine;
+    machine.id = std::move(id);
+    machine.type = &type;
+    machine.zone = zone;
+    machine.spot = spot;
+    machine.free = type.size;
+    return machine;
+}
+
+// The waiting job as it will be once it is released at that time of the wall clock.
+JobEntry as_released(const Job& waiting, Micros released_at) {
+    JobEntry entry;
+    entry.job = waiting;
+    entry.job.team = waiting.team_once_released;
+    entry.job.accepted = released_at;
+    if (waiting.deadline_s) {
+        const Micros deadline = waiting.accepted + from_seconds(*waiting.deadline_s);
+        entry.job.deadline_s = to_seconds(deadline - released_at);
+    }
+    return entry;
+}
+
+class ScaleOutPlanner {
   public:
-    Planner(const ScaleOutSettings& s, const ScaleOutInput& in, FreeCapacity& capacity)
-        : settings_(s), in_(in), capacity_(capacity) {
-        for (const auto& b : in.booting) {
-            const auto t = in.catalog->find(b.type);
-            if (t == in.catalog->end()) continue;
-            MachineCapacity m;
-            m.id = b.machine;
-            m.type = &t->second;
-            m.zone = b.zone;
-            m.spot = b.spot;
-            m.free = t->second.size;
-            capacity_.add(std::move(m));
-        }
-        for (const auto& [name, team] : *in.teams) used_[name] = in.job_table->team_use(name);
-        for (const auto& m : capacity_.machines()) ++in_zone_[m.zone];
+    ScaleOutPlanner(const ScaleOutSettings& settings, const ScaleOutInput& input, FreeCapacity& capacity)
+        : settings_(settings), input_(input), capacity_(capacity) {
+        for (const auto& instance : input.booting) add_booting(instance);
+        for (const auto& [name, team] : *input.teams) team_use_[name] = input.job_table->team_use(name);
+        for (const auto& machine : capacity_.machines()) ++machines_by_zone_[machine.zone];
     }
 
     std::map<InstancePool, std::uint32_t> run() {
         std::set<std::string> teams;
-        for (const auto& [name, team] : *in_.teams) teams.insert(name);
-        const auto queue =
-            queue_order(*in_.job_table, teams, *in_.objectives, in_.wall_clock_now, in_.pipelines);
+        for (const auto& [name, team] : *input_.teams) teams.insert(name);
+        const auto queue = queue_order(*input_.job_table, teams, *input_.objectives, input_.wall_clock_now,
+                                       input_.pipelines);
         // Tasks that never end, and gangs, need capacity of their own now.
-        for (const JobEntry* e : queue) {
-            if (e->job.kind != JobKind::array) place_all(*e);
+        for (const JobEntry* entry : queue) {
+            if (entry->job.kind != JobKind::array) place_all(*entry);
         }
-        // Arrays share capacity over time: so much as empties their backlog in the wanted time. What their
-        // running tasks will leave within that time is capacity for the queue too.
-        lend_running();
-        searched_.clear();  // there is capacity again
-        for (const JobEntry* e : queue) {
-            if (e->job.kind == JobKind::array) place_share(*e);
+        // Arrays share capacity over time: as much as empties their backlog in the wanted time. What their
+        // running tasks will free within that time is capacity for the queue too.
+        free_shares_of_running();
+        first_with_capacity_.clear();  // there is capacity again
+        for (const JobEntry* entry : queue) {
+            if (entry->job.kind == JobKind::array) place_share(*entry);
         }
-        rent_ahead();
-        return std::move(rent_);
+        scale_out_ahead();
+        return std::move(requests_);
     }
 
   private:
-    bool within_limit(const Job& j) const {
-        const auto& t = in_.teams->at(j.team);
-        const Resources& u = used_.at(j.team);
-        return u.cpus + j.resources.cpus <= t.cpus_max + kResourceTolerance &&
-               u.gpus + j.resources.gpus <= t.gpus_max + kResourceTolerance;
+    // Lower is better.
+    struct PoolCost {
+        double price_per_used_cpu = 0;
+        std::size_t machines_in_zone = 0;
+        friend auto operator<=>(const PoolCost&, const PoolCost&) = default;
+    };
+    struct PoolChoice {
+        InstancePool pool;
+        PoolCost cost;
+    };
+
+    void add_booting(const Instance& instance) {
+        const auto type = input_.catalog->find(instance.type);
+        if (type == input_.catalog->end()) return;
+        capacity_.add(new_machine(instance.machine, type->second, instance.zone, instance.spot));
     }
 
-    bool open_for(const JobEntry& e, const ZoneUse& zones, const MachineCapacity& m) const {
-        return has_capacity_for(e.job, m) && zones.allows(e.job, m.zone);
+    bool within_limit(const Job& job) const {
+        const Team& team = input_.teams->at(job.team);
+        const Resources& use = team_use_.at(job.team);
+        return use.cpus + job.resources.cpus <= team.cpus_max + kResourceTolerance &&
+               use.gpus + job.resources.gpus <= team.gpus_max + kResourceTolerance;
     }
 
-    // As many of n tasks as this machine takes.
-    std::uint32_t fill(const JobEntry& e, ZoneUse& zones, std::size_t i, std::uint32_t n) {
-        std::uint32_t taken = 0;
-        while (taken < n && within_limit(e.job) && open_for(e, zones, capacity_.machines()[i])) {
-            capacity_.take(i, e.job.resources);
-            used_[e.job.team] += e.job.resources;
-            zones.add(capacity_.machines()[i].zone);
-            ++taken;
+    // Places up to `limit` tasks on this machine; returns how many.
+    std::uint32_t fill(const JobEntry& entry, ZoneUse& zones, std::size_t position, std::uint32_t limit) {
+        const Job& job = entry.job;
+        std::uint32_t placed = 0;
+        while (placed < limit && within_limit(job)) {
+            const MachineCapacity& machine = capacity_.machines()[position];
+            if (!has_capacity_for(job, machine) || !zones.allows(job, machine.zone)) break;
+            capacity_.take(position, job.resources);
+            team_use_[job.team] += job.resources;
+            zones.add(machine.zone);
+            ++placed;
         }
-        return taken;
-    }
-
-    // FreeCapacity for n more tasks: what there is, then machines to rent. Returns how many found some.
-    std::uint32_t some(const JobEntry& e, ZoneUse& zones, std::uint32_t n) {
-        std::uint32_t got = 0;
-        // FreeCapacity only shrinks: a job of the same shape goes on where the last one stopped.
-        std::size_t& from = searched_[shape(e.job)];
-        const bool zoned = e.job.spread || e.job.one_zone;
-        std::size_t i = from;
-        for (; i < capacity_.machines().size() && got < n; ++i) {
-            got += fill(e, zones, i, n - got);
-            if (!within_limit(e.job)) return got;
+        return placed;
+    }
+
+    // Places up to `wanted` tasks: on what there is, then on instances to request. Returns how many.
+    std::uint32_t place_some(const JobEntry& entry, ZoneUse& zones, std::uint32_t wanted) {
+        const std::uint32_t placed = place_on_known(entry, zones, wanted);
+        if (!within_limit(entry.job)) return placed;
+        return placed + place_on_requested(entry, zones, wanted - placed);
+    }
+
+    std::uint32_t place_on_known(const JobEntry& entry, ZoneUse& zones, std::uint32_t wanted) {
+        // Capacity only shrinks: a job of the same shape goes on where the last one stopped.
+        std::size_t& first = first_with_capacity_[shape(entry.job)];
+        std::uint32_t placed = 0;
+        std::size_t position = first;
+        for (; position < capacity_.machines().size() && placed < wanted; ++position) {
+            placed += fill(entry, zones, position, wanted - placed);
+            if (!within_limit(entry.job)) return placed;
         }
-        if (!zoned) from = i == 0 ? 0 : i - 1;
-        while (got < n && within_limit(e.job) && total_ < settings_.most_per_round) {
-            const auto pool = choose(e, zones, (n - got) * e.job.resources.cpus);
+        const bool has_zone_rules = entry.job.spread || entry.job.one_zone;
+        if (!has_zone_rules) first = position == 0 ? 0 : position - 1;
+        return placed;
+    }
+
+    std::uint32_t place_on_requested(const JobEntry& entry, ZoneUse& zones, std::uint32_t wanted) {
+        std::uint32_t placed = 0;
+        while (placed < wanted && within_limit(entry.job) && requested_ < settings_.most_per_round) {
+            const auto pool = cheapest_pool(entry.job, zones, (wanted - placed) * entry.job.resources.cpus);
             if (!pool) break;
-            ++rent_[*pool];
-            ++total_;
-            MachineCapacity m;
-            m.id = "planned-" + std::to_string(total_);
-            m.type = &in_.catalog->at(pool->type);
-            m.zone = pool->zone;
-            m.spot = pool->spot;
-            m.free = m.type->size;
-            ++in_zone_[m.zone];
-            const auto at = capacity_.add(std::move(m));
-            const std::uint32_t taken = fill(e, zones, at, n - got);
-            if (taken == 0) break;
-            got += taken;
+            const std::uint32_t more = fill(entry, zones, request_instance(*pool), wanted - placed);
+            if (more == 0) break;
+            placed += more;
         }
-        return got;
-    }
-
-    // Not split yet: compares pools by one measure after the other.
-    // NOLINTNEXTLINE(readability-function-cognitive-complexity)
-    std::optional<InstancePool> choose(const JobEntry& e, const ZoneUse& zones, double cpus_wanted) const {
-        std::optional<InstancePool> best;
-        std::tuple<double, std::size_t> best_cost;
-        for (const auto& [name, t] : *in_.catalog) {
-            if (!e.job.allows_type(name) || !e.job.resources.fits_in(t.size)) continue;
-            for (const auto& zone : t.zones) {
-                if ((e.job.zone && *e.job.zone != zone) || !zones.allows(e.job, zone)) continue;
-                for (const bool spot : {true, false}) {
-                    if (spot && !e.job.spot) continue;
-                    const InstancePool pool{name, zone, spot};
-                    const auto r = in_.refused_until.find(pool);
-                    if (r != in_.refused_until.end() && r->second > in_.now) continue;
-                    // Money for the capacity that the queue would really use on it.
-                    const double price = spot ? t.spot_price : t.price;
-                    const double used = std::min(t.size.cpus, std::max(cpus_wanted, e.job.resources.cpus));
-                    const std::tuple<double, std::size_t> cost{price / std::max(used, 1e-3),
-                                                               machines_in(zone)};
-                    if (!best || cost < best_cost) {
-                        best = pool;
-                        best_cost = cost;
-                    }
-                }
+        return placed;
+    }
+
+    // Returns the position of the machine that the instance will be.
+    std::size_t request_instance(const InstancePool& pool) {
+        ++requests_[pool];
+        ++requested_;
+        ++machines_by_zone_[pool.zone];
+        const MachineType& type = input_.catalog->at(pool.type);
+        return capacity_.add(
+            new_machine("planned-" + std::to_string(requested_), type, pool.zone, pool.spot));
+    }
+
+    // The pool with the lowest price for each CPU that the queue would use of an instance.
+    std::optional<InstancePool> cheapest_pool(const Job& job, const ZoneUse& zones,
+                                              double cpus_wanted) const {
+        std::optional<PoolChoice> best;
+        for (const auto& [name, type] : *input_.catalog) {
+            if (!job.allows_type(name) || !job.resources.fits_in(type.size)) continue;
+            const double cpus_used = std::min(type.size.cpus, std::max(cpus_wanted, job.resources.cpus));
+            for (const auto& zone : type.zones) {
+                if ((job.zone && *job.zone != zone) || !zones.allows(job, zone)) continue;
+                if (job.spot) consider({name, zone, true}, type.spot_price, cpus_used, best);
+                consider({name, zone, false}, type.price, cpus_used, best);
             }
         }
-        return best;
+        if (!best) return std::nullopt;
+        return best->pool;
+    }
+
+    // Of pools with equal costs the one that was considered first stays the choice.
+    void consider(const InstancePool& pool, double price, double cpus_used,
+                  std::optional<PoolChoice>& best) const {
+        const auto refused = input_.refused_until.find(pool);
+        if (refused != input_.refused_until.end() && refused->second > input_.now) return;
+        const PoolCost cost{price / std::max(cpus_used, kLeastUsedCpus), machines_in(pool.zone)};
+        if (!best || cost < best->cost) best = PoolChoice{pool, cost};
     }
 
-    bool has_home(const Job& j) const {
-        return std::any_of(
-            capacity_.machines().begin(), capacity_.machines().end(), [&](const MachineCapacity& m) {
-                return m.usable && !m.draining && may_run_on(j, m) && j.resources.fits_in(m.type->size);
-            });
+    // A machine that could take a task of the job if it were empty.
+    bool has_suitable_machine(const Job& job) const {
+        const auto& machines = capacity_.machines();
+        return std::any_of(machines.begin(), machines.end(), [&](const MachineCapacity& machine) {
+            return machine.usable && !machine.draining && may_run_on(job, machine) &&
+                   job.resources.fits_in(machine.type->size);
+        });
     }
 
     std::size_t machines_in(const std::string& zone) const {
-        const auto it = in_zone_.find(zone);
-        return it == in_zone_.end() ? 0 : it->second;
+        const auto known = machines_by_zone_.find(zone);
+        return known == machines_by_zone_.end() ? 0 : known->second;
     }
 
-    void place_all(const JobEntry& e) {
-        ZoneUse zones = ZoneUse::of(e, capacity_);
-        some(e, zones, e.unstarted());
+    void place_all(const JobEntry& entry) {
+        ZoneUse zones = ZoneUse::of(entry, capacity_);
+        place_some(entry, zones, entry.unstarted());
     }
 
-    // The part of the wanted time for which a task of this job needs its place.
-    double time_share(const Job& j, double run) const {
-        const Micros due = due_time(j, *in_.objectives, in_.wall_clock_now, in_.pipelines);
-        const double left = static_cast<double>((due - in_.wall_clock_now).count()) / 1e6 - run;
-        return std::min(1.0, run / std::max(left * settings_.slack_share, settings_.least_queue_s));
+    // The part of the time until the job is due for which a task that runs `run_s` needs its place.
+    double time_share(const Job& job, double run_s) const {
+        const Micros due = due_time(job, *input_.objectives, input_.wall_clock_now, input_.pipelines);
+        const double slack_s = to_seconds(due - input_.wall_clock_now) - run_s;
+        return std::min(1.0, run_s / std::max(slack_s * settings_.slack_share, settings_.least_queue_s));
     }
 
-    void lend_running() {
-        std::unordered_map<const JobEntry*, double> shares;
-        for (std::size_t i = 0; i < capacity_.machines().size(); ++i) {
-            const MachineCapacity& m = capacity_.machines()[i];
-            if (m.recorded_attempts == nullptr || !m.usable || m.draining) continue;
-            for (const auto& [ref, recorded_attempts] : *m.recorded_attempts) {
-                const JobEntry* e = recorded_attempts.entry;
-                if (e->job.kind != JobKind::array) continue;
-                const auto [share, fresh] = shares.try_emplace(e, 0);
+    // Gives back the part of the wanted time that running tasks of arrays leave to the queue.
+    void free_shares_of_running() {
+        std::unordered_map<const JobEntry*, double> freed_shares;
+        for (std::size_t position = 0; position < capacity_.machines().size(); ++position) {
+            const MachineCapacity& machine = capacity_.machines()[position];
+            if (machine.recorded_attempts == nullptr || !machine.usable || machine.draining) continue;
+            for (const auto& [ref, recorded] : *machine.recorded_attempts) {
+                const Job& job = recorded.entry->job;
+                if (job.kind != JobKind::array) continue;
+                const auto [share, is_new] = freed_shares.try_emplace(recorded.entry, 0);
                 // Half of its run is still to come, as far as anyone knows.
-                if (fresh) share->second = 1 - time_share(e->job, task_seconds(e->job) / 2);
-                capacity_.give(i, e->job.resources * share->second);
+                if (is_new) share->second = 1 - time_share(job, task_seconds(job) / 2);
+                capacity_.give(position, job.resources * share->second);
             }
         }
     }
 
-    void place_share(const JobEntry& e) {
+    void place_share(const JobEntry& entry) {
         // A task that runs longer than the wanted time needs a place of its own at once; short ones queue.
-        const double share = time_share(e.job, std::max(task_seconds(e.job), 1.0));
-        ZoneUse zones = ZoneUse::of(e, capacity_);
-        if (!has_home(e.job)) {
+        const double share = time_share(entry.job, std::max(task_seconds(entry.job), kLeastTaskSeconds));
+        ZoneUse zones = ZoneUse::of(entry, capacity_);
+        if (!has_suitable_machine(entry.job)) {
             // However short the queue: without any machine that could take it, it would wait for ever.
-            some(e, zones, 1);
+            place_some(entry, zones, 1);
             return;
         }
+        const double places = share * entry.unstarted();
         // What has waited too long needs a place now, whatever the queue would leave it.
-        reserved_ +=
-            must_begin(e, in_.wall_clock_now) ? std::max(1.0, share * e.unstarted()) : share * e.unstarted();
-        const auto whole = static_cast<std::uint32_t>(reserved_);
-        if (whole == 0) return;
-        const auto got = some(e, zones, std::min(whole, e.unstarted()));
-        reserved_ = got < whole ? std::min(reserved_ - got, 1.0) : reserved_ - got;
+        carried_places_ += must_begin(entry, input_.wall_clock_now) ? std::max(1.0, places) : places;
+        const auto whole_places = static_cast<std::uint32_t>(carried_places_);
+        if (whole_places == 0) return;
+        const auto placed = place_some(entry, zones, std::min(whole_places, entry.unstarted()));
+        carried_places_ -= placed;
+        if (placed < whole_places) carried_places_ = std::min(carried_places_, 1.0);
     }
 
     // Jobs that will be released soon, after all that is released already.
-    void rent_ahead() {
-        if (in_.pipelines == nullptr || settings_.release_ahead_s <= 0) return;
-        const Micros until = in_.wall_clock_now + from_seconds(settings_.release_ahead_s);
-        for (const auto& release : in_.pipelines->upcoming()) {
+    void scale_out_ahead() {
+        if (input_.pipelines == nullptr || settings_.release_ahead_s <= 0) return;
+        const Micros until = input_.wall_clock_now + from_seconds(settings_.release_ahead_s);
+        for (const auto& release : input_.pipelines->upcoming()) {
             const Job& job = release.entry->job;
-            if (release.soonest > until || !in_.teams->contains(job.team_once_released)) continue;
+            if (release.soonest > until || !input_.teams->contains(job.team_once_released)) continue;
             const JobEntry released = as_released(job, release.soonest);
             if (job.kind == JobKind::array) {
                 place_share(released);
@@ -211,34 +263,23 @@
         }
     }
 
-    static JobEntry as_released(const Job& waiting, Micros at) {
-        JobEntry entry;
-        entry.job = waiting;
-        entry.job.team = waiting.team_once_released;
-        entry.job.accepted = at;
-        if (waiting.deadline_s) {
-            const Micros deadline = waiting.accepted + from_seconds(*waiting.deadline_s);
-            entry.job.deadline_s = static_cast<double>((deadline - at).count()) / 1e6;
-        }
-        return entry;
-    }
-
     const ScaleOutSettings& settings_;
-    const ScaleOutInput& in_;
+    const ScaleOutInput& input_;
     FreeCapacity& capacity_;
-    std::map<InstancePool, std::uint32_t> rent_;
-    std::map<std::string, Resources> used_;
-    std::map<std::string, std::size_t> in_zone_;
-    std::map<Shape, std::size_t> searched_;
-    double reserved_ = 0;
-    std::size_t total_ = 0;
+    std::map<InstancePool, std::uint32_t> requests_;
+    std::size_t requested_ = 0;                            // instances of all pools
+    std::map<std::string, Resources> team_use_;            // with what this round has placed
+    std::map<std::string, std::size_t> machines_by_zone_;  // with what this round requests
+    std::map<Shape, std::size_t> first_with_capacity_;     // all machines before it have none for the shape
+    // Places that arrays need beyond those they got: the fractions of many short queues add up to whole ones.
+    double carried_places_ = 0;
 };
 
 }  // namespace
 
-std::map<InstancePool, std::uint32_t> plan_scale_out(const ScaleOutSettings& s, const ScaleOutInput& in,
-                                                     FreeCapacity capacity) {
-    return Planner{s, in, capacity}.run();
+std::map<InstancePool, std::uint32_t> plan_scale_out(const ScaleOutSettings& settings,
+                                                     const ScaleOutInput& input, FreeCapacity capacity) {
+    return ScaleOutPlanner{settings, input, capacity}.run();
 }
 
 }  // namespace hatchwind::core
