--- a/src/core/dependency_graph.cpp
+++ b/src/core/dependency_graph.cpp
@@ -11,36 +11,36 @@
 struct WaitingJob {
     const Job* job = nullptr;
     bool cancelled = false;
-    std::size_t open_needs = 0;             // that are not known to be done
-    std::vector<std::size_t> dependents{};  // waiting jobs that need this one
-    std::vector<std::string_view> unknown{};
+    std::size_t open_dependencies = 0;        // that are not known to be done
+    std::vector<std::size_t> dependents{};    // waiting jobs
+    std::vector<std::string_view> unknown{};  // dependencies of which nothing is known
 };
 
 class DependencyPass {
   public:
-    DependencyPass(const JobTable& job_table, const TerminalStateLookup& ending)
-        : job_table_(job_table), ending_(ending) {
+    DependencyPass(const JobTable& job_table, const TerminalStateLookup& lookup)
+        : job_table_(job_table), lookup_(lookup) {
         for (const auto& id : job_table.waiting()) {
             index_.emplace(id, jobs_.size());
             jobs_.push_back({&job_table.find(id)->job});
         }
     }
 
-    DependencyPlan run(const std::function<bool(const Job&)>& mine) {
-        for (std::size_t i = 0; i < jobs_.size(); ++i) look_at_needs(i);
-        spread_cancels();
+    DependencyPlan run(const std::function<bool(const Job&)>& selected) {
+        for (std::size_t i = 0; i < jobs_.size(); ++i) visit_dependencies(i);
+        propagate_cancellations();
         DependencyPlan plan;
         std::unordered_set<std::string_view> unknown;
         for (const auto& waiting : jobs_) {
-            if (!mine(*waiting.job)) continue;
+            if (!selected(*waiting.job)) continue;
             if (waiting.cancelled) {
                 plan.cancel.push_back(waiting.job->id);
-            } else if (waiting.open_needs == 0) {
+            } else if (waiting.open_dependencies == 0) {
                 plan.release.push_back(waiting.job->id);
             } else {
-                for (const auto resources : waiting.unknown) {
-                    if (unknown.insert(resources).second)
-                        plan.unknown_terminal_states.emplace_back(resources);
+                for (const auto dependency : waiting.unknown) {
+                    if (unknown.insert(dependency).second)
+                        plan.unknown_terminal_states.emplace_back(dependency);
                 }
             }
         }
@@ -48,54 +48,54 @@
     }
 
   private:
-    void look_at_needs(std::size_t i) {
-        WaitingJob& waiting = jobs_[i];
+    void visit_dependencies(std::size_t position) {
+        WaitingJob& waiting = jobs_[position];
         if (waiting.job->cancelled) {
-            mark_cancelled(i);
+            mark_cancelled(position);
             return;
         }
-        if (!waiting.job->dependencies_known()) waiting.open_needs = 1;
-        for (const auto& resources : waiting.job->dependencies) look_at_need(i, resources);
+        if (!waiting.job->dependencies_known()) waiting.open_dependencies = 1;
+        for (const auto& dependency : waiting.job->dependencies) visit_dependency(position, dependency);
     }
 
-    void look_at_need(std::size_t i, const std::string& resources) {
-        WaitingJob& waiting = jobs_[i];
-        if (const auto other = index_.find(resources); other != index_.end()) {
-            ++waiting.open_needs;
-            jobs_[other->second].dependents.push_back(i);
+    void visit_dependency(std::size_t position, const std::string& dependency) {
+        WaitingJob& waiting = jobs_[position];
+        if (const auto other = index_.find(dependency); other != index_.end()) {
+            ++waiting.open_dependencies;
+            jobs_[other->second].dependents.push_back(position);
             return;
         }
-        if (const JobEntry* unfinished = job_table_.find(resources)) {
-            ++waiting.open_needs;
-            if (unfinished->job.cancelled) mark_cancelled(i);
+        if (const JobEntry* unfinished = job_table_.find(dependency)) {
+            ++waiting.open_dependencies;
+            if (unfinished->job.cancelled) mark_cancelled(position);
             return;
         }
-        const auto ended = ending_(resources);
-        if (ended == TerminalState::done) return;
-        ++waiting.open_needs;
-        if (ended) {
-            mark_cancelled(i);
+        const auto terminal_state = lookup_(dependency);
+        if (terminal_state == TerminalState::done) return;
+        ++waiting.open_dependencies;
+        if (terminal_state) {
+            mark_cancelled(position);
         } else {
-            waiting.unknown.emplace_back(resources);
+            waiting.unknown.emplace_back(dependency);
         }
     }
 
-    void mark_cancelled(std::size_t i) {
-        if (jobs_[i].cancelled) return;
-        jobs_[i].cancelled = true;
-        cancelled_.push_back(i);
+    void mark_cancelled(std::size_t position) {
+        if (jobs_[position].cancelled) return;
+        jobs_[position].cancelled = true;
+        cancelled_.push_back(position);
     }
 
-    void spread_cancels() {
+    void propagate_cancellations() {
         while (!cancelled_.empty()) {
-            const std::size_t i = cancelled_.back();
+            const std::size_t position = cancelled_.back();
             cancelled_.pop_back();
-            for (const std::size_t dependent : jobs_[i].dependents) mark_cancelled(dependent);
+            for (const std::size_t dependent : jobs_[position].dependents) mark_cancelled(dependent);
         }
     }
 
     const JobTable& job_table_;
-    const TerminalStateLookup& ending_;
+    const TerminalStateLookup& lookup_;
     std::vector<WaitingJob> jobs_;
     std::unordered_map<std::string_view, std::size_t> index_;
     std::vector<std::size_t> cancelled_;  // whose dependents are to be marked
@@ -103,14 +103,14 @@
 
 }  // namespace
 
-DependencyPlan plan_dependencies(const JobTable& job_table, const TerminalStateLookup& ending,
-                                 const std::function<bool(const Job&)>& mine) {
+DependencyPlan plan_dependencies(const JobTable& job_table, const TerminalStateLookup& lookup,
+                                 const std::function<bool(const Job&)>& selected) {
     if (job_table.waiting().empty()) return {};
-    return DependencyPass{job_table, ending}.run(mine);
+    return DependencyPass{job_table, lookup}.run(selected);
 }
 
 Ancestry look_back(const JobTable& job_table, const std::vector<std::string>& jobs,
-                   const TerminalStateLookup& ending) {
+                   const TerminalStateLookup& lookup) {
     Ancestry ancestry;
     std::unordered_set<std::string_view> seen(jobs.begin(), jobs.end());
     std::vector<const std::string*> to_visit;
@@ -126,17 +126,17 @@
             }
             if (!entry->job.waiting()) continue;
             if (!entry->job.dependencies_known()) ancestry.complete = false;
-            for (const auto& resources : entry->job.dependencies) {
-                if (seen.insert(resources).second) to_visit.push_back(&resources);
+            for (const auto& dependency : entry->job.dependencies) {
+                if (seen.insert(dependency).second) to_visit.push_back(&dependency);
             }
             continue;
         }
-        const auto ended = ending(id);
-        if (ended == TerminalState::cancelled) {
+        const auto terminal_state = lookup(id);
+        if (terminal_state == TerminalState::cancelled) {
             ancestry.cancelled = true;
             return ancestry;
         }
-        if (!ended) ancestry.unknown_terminal_states.push_back(id);
+        if (!terminal_state) ancestry.unknown_terminal_states.push_back(id);
     }
     return ancestry;
 }
--- a/src/core/pipeline_schedule.cpp
+++ b/src/core/pipeline_schedule.cpp
@@ -9,43 +9,45 @@
 
 namespace {
 
+// A job of the DAG.
 struct Node {
     const JobEntry* entry = nullptr;
-    std::vector<std::size_t> needed_by;
-    std::size_t unfinished_needs = 0;  // not passed yet on the way forward
-    bool needs_cancelled_job = false;
-    bool can_run = false;  // stays false in a circle and behind one
+    std::vector<std::size_t> dependents;
+    std::size_t unvisited_dependencies = 0;  // on the way forward
+    bool depends_on_cancelled = false;
+    bool can_run = false;  // stays false on a cycle and behind one
     Micros soonest_start{};
     Micros soonest_done{};
     InheritedDemand demand;
-    bool needed = false;
+    bool has_dependents = false;  // that can run
 };
 
-// Unfinished jobs that wait or are waited for, and who needs whom. All walks are loops over a command in
-// which every job comes after those that it needs: pipelines may be hundreds of jobs deep.
+// The DAG of unfinished jobs that wait or are waited for. All walks are loops over a topological order,
+// without recursion: pipelines may be hundreds of jobs deep.
 class Graph {
   public:
-    Graph(const JobTable& job_table, Micros wall_clock_now) : job_table_(job_table), wall_(wall_clock_now) {
+    Graph(const JobTable& job_table, Micros wall_clock_now)
+        : job_table_(job_table), wall_clock_now_(wall_clock_now) {
         for (const auto& id : job_table.waiting()) add_waiting(*job_table.find(id));
     }
 
     // When each job could be done if all goes well.
     void walk_forward() {
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
-            if (nodes_[i].unfinished_needs == 0) order_.push_back(i);
+            if (nodes_[i].unvisited_dependencies == 0) order_.push_back(i);
         }
-        // The order grows on the way.
-        // NOLINTNEXTLINE(modernize-loop-convert)
-        for (std::size_t next = 0; next < order_.size(); ++next) pass_on_start(nodes_[order_[next]]);
+        // The order grows on the way, so iterators do not last.
+        std::size_t next = 0;
+        while (next < order_.size()) propagate_start(nodes_[order_[next++]]);
     }
 
-    // What is asked of each job by those behind it.
+    // What the dependents of each job require of it.
     void walk_backward(const std::vector<Objective>& objectives) {
         std::for_each(order_.rbegin(), order_.rend(),
                       [&](std::size_t node) { inherit(nodes_[node], objectives); });
     }
 
-    const std::vector<Node>& member_records() const { return nodes_; }
+    const std::vector<Node>& nodes() const { return nodes_; }
 
   private:
     std::size_t node_of(const JobEntry& entry) {
@@ -53,7 +55,7 @@
         if (fresh) {
             Node& node = nodes_.emplace_back();
             node.entry = &entry;
-            node.soonest_start = wall_;
+            node.soonest_start = wall_clock_now_;
             node.demand.priority = entry.job.priority;
         }
         return known->second;
@@ -62,24 +64,25 @@
     void add_waiting(const JobEntry& entry) {
         const std::size_t waiting = node_of(entry);
         for (const auto& id : entry.job.dependencies) {
-            const JobEntry* needed = job_table_.find(id);
-            // What the job table does not have any more is over.
-            if (needed == nullptr || (needed->finished() && !needed->job.cancelled)) continue;
-            const std::size_t before = node_of(*needed);
-            nodes_[before].needed_by.push_back(waiting);
-            ++nodes_[waiting].unfinished_needs;
+            const JobEntry* dependency = job_table_.find(id);
+            // A job that is not in the job table any more is over.
+            if (dependency == nullptr) continue;
+            if (dependency->finished() && !dependency->job.cancelled) continue;
+            const std::size_t before = node_of(*dependency);
+            nodes_[before].dependents.push_back(waiting);
+            ++nodes_[waiting].unvisited_dependencies;
         }
     }
 
-    void pass_on_start(Node& node) {
-        node.can_run = !node.entry->job.cancelled && !node.needs_cancelled_job;
+    void propagate_start(Node& node) {
+        node.can_run = !node.entry->job.cancelled && !node.depends_on_cancelled;
         node.soonest_done =
             node.soonest_start + from_seconds(node.entry->job.estimate_s * kTrustedShareOfEstimate);
-        for (const auto behind : node.needed_by) {
-            Node& later = nodes_[behind];
-            later.needs_cancelled_job = later.needs_cancelled_job || !node.can_run;
+        for (const auto dependent : node.dependents) {
+            Node& later = nodes_[dependent];
+            later.depends_on_cancelled = later.depends_on_cancelled || !node.can_run;
             later.soonest_start = std::max(later.soonest_start, node.soonest_done);
-            if (--later.unfinished_needs == 0) order_.push_back(behind);
+            if (--later.unvisited_dependencies == 0) order_.push_back(dependent);
         }
     }
 
@@ -88,10 +91,10 @@
         const Job& job = node.entry->job;
         InheritedDemand& demand = node.demand;
         if (job.deadline_s) demand.due = deadline_still_met(job, objectives, node.soonest_done);
-        for (const auto behind : node.needed_by) {
-            const Node& later = nodes_[behind];
+        for (const auto dependent : node.dependents) {
+            const Node& later = nodes_[dependent];
             if (!later.can_run) continue;
-            node.needed = true;
+            node.has_dependents = true;
             demand.priority = std::max(demand.priority, later.demand.priority);
             const auto& start = later.demand.latest_start;
             if (start && (!demand.due || *start < *demand.due)) demand.due = start;
@@ -100,10 +103,10 @@
     }
 
     const JobTable& job_table_;
-    Micros wall_;
+    Micros wall_clock_now_;
     std::vector<Node> nodes_;
     std::unordered_map<const JobEntry*, std::size_t> index_;
-    std::vector<std::size_t> order_;  // every job after those that it needs
+    std::vector<std::size_t> order_;  // topological: every job after its dependencies
 };
 
 }  // namespace
@@ -114,10 +117,10 @@
     Graph graph{job_table, wall_clock_now};
     graph.walk_forward();
     graph.walk_backward(objectives);
-    for (const auto& node : graph.member_records()) {
+    for (const auto& node : graph.nodes()) {
         if (!node.can_run) continue;
-        if (node.needed) schedule.demands_.emplace(node.entry->job.id, node.demand);
-        // Without a list its needs are not known here, and nobody can say when it will be released.
+        if (node.has_dependents) schedule.demands_.emplace(node.entry->job.id, node.demand);
+        // Without a list its dependencies are not known here, and nobody can say when it will be released.
         const Job& job = node.entry->job;
         if (job.waiting() && !job.dependencies.empty())
             schedule.upcoming_.push_back({node.entry, node.soonest_start});
