--- a/src/core/capacity_reservation.cpp
+++ b/src/core/capacity_reservation.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr Micros kHoldTime{5'000'000};
+// Until the next passes have made the reservation anew.
+constexpr Micros kReservationTime{5'000'000};
 
 // Machines that may ever take a task of the job, those with the most free CPUs first.
 std::vector<std::size_t> machines_by_free_cpus(const FreeCapacity& capacity, const Job& job) {
@@ -45,19 +46,19 @@
     const FreeCapacity& capacity = trial.capacity();
     std::vector<std::size_t> order = machines_by_free_cpus(capacity, entry.job);
     if (entry.job.one_zone) keep_emptiest_zone(capacity, order);
-    const Micros until = trial.input().now + kHoldTime;
+    const Micros until = trial.input().now + kReservationTime;
     std::size_t next = 0;
     std::uint32_t task = 0;
     while (task < tasks && next < order.size()) {
         const MachineCapacity& machine = capacity.machines()[order[next]];
-        // What is held already, for an older job, is full beyond its size.
+        // What is reserved already, for an older job, may exceed the machine.
         if (machine.free.cpus < 0) {
             ++next;
             continue;
         }
-        const Reservation hold{machine.id, entry.job.resources, until, true};
-        trial.result().reservations[{entry.job.id, task}] = hold;
-        trial.hold(hold);
+        const Reservation reservation{machine.id, entry.job.resources, until, true};
+        trial.result().reservations[{entry.job.id, task}] = reservation;
+        trial.reserve(reservation);
         ++task;
     }
 }
--- a/src/core/fair_share_ranking.cpp
+++ b/src/core/fair_share_ranking.cpp
@@ -7,7 +7,7 @@
 namespace hatchwind::core {
 
 namespace {
-// What waits longer all the same waits for something else, and must not keep the fleet idle.
+// A job that has waited longer waits for something else, and must not keep the fleet idle.
 constexpr Micros kReservedFor{60'000'000};
 
 bool accepted_before(const JobEntry* left, const JobEntry* right) {
@@ -66,9 +66,9 @@
         if (!entry.job.spot) reserved.ordinary += waiting;
     }
     for (auto& [name, reserved] : reserved_) {
-        const double within_quota = trial_.input().teams->at(name).cpus;
-        const double due = std::max(0.0, within_quota - trial_.team_use(name).cpus);
-        reserved = {std::min(reserved.any, due), std::min(reserved.ordinary, due)};
+        const double quota = trial_.input().teams->at(name).cpus;
+        const double unused_quota = std::max(0.0, quota - trial_.team_use(name).cpus);
+        reserved = {std::min(reserved.any, unused_quota), std::min(reserved.ordinary, unused_quota)};
     }
 }
 
--- a/src/core/gang_placement.hpp
+++ b/src/core/gang_placement.hpp
@@ -1,4 +1,4 @@
-// Places gangs: all tasks of a gang start together under one attempt number, or none does.
+/// Gang scheduling: all tasks of a gang start together under one attempt number, or none does.
 #pragma once
 
 #include <optional>
@@ -9,11 +9,13 @@
 
 namespace hatchwind::core {
 
+/// Places gangs within one placement pass.
 class GangPlacement {
   public:
     GangPlacement(PlacementTrial& trial, CandidateSearch& search, TaskPlacement& tasks)
         : trial_(trial), search_(search), tasks_(tasks) {}
 
+    /// Starts the gang, replaces tasks that it lost before it began, or does nothing.
     void place(const JobEntry& entry);
 
   private:
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -31,14 +31,14 @@
         const auto queue = queue_order(*input.job_table, input.own_teams, *input.objectives,
                                        input.wall_clock_now, input.pipelines);
         begin_overdue(overdue_jobs(queue, input.wall_clock_now));
-        hold_for_others_overdue();
+        reserve_for_overdue_of_peers();
         place_queue(queue);
         return std::move(trial_.result());
     }
 
   private:
     // What has waited too long begins first, each with one task, the longest wait first; capacity that it
-    // does not find is held for it, so that neither small nor urgent work takes what is set free.
+    // does not find is reserved for it, so that neither small nor urgent work takes what is freed.
     void begin_overdue(const std::vector<const JobEntry*>& overdue) {
         for (const JobEntry* entry : overdue) {
             if (trial_.full()) break;
@@ -46,10 +46,10 @@
         }
     }
 
-    // Overdue jobs of different owners may try for the same capacity; only others keep away from it.
-    void hold_for_others_overdue() {
+    // Overdue jobs of different shards may try for the same capacity; only other jobs keep away from it.
+    void reserve_for_overdue_of_peers() {
         for (const auto& reservation : trial_.input().peer_reservations) {
-            if (reservation.waiting) trial_.hold(reservation);
+            if (reservation.waiting) trial_.reserve(reservation);
         }
     }
 
--- a/src/core/placement_trial.cpp
+++ b/src/core/placement_trial.cpp
@@ -6,19 +6,19 @@
 
 PlacementTrial::PlacementTrial(const PlacementInput& input, FreeCapacity& capacity)
     : input_(input), capacity_(capacity) {
-    hold_known_reservations();
+    reserve_known();
     for (const auto& [name, team] : *input.teams) team_use_[name] = input.job_table->team_use(name);
     count_free_cpus();
 }
 
-void PlacementTrial::hold_known_reservations() {
+void PlacementTrial::reserve_known() {
     for (const auto& [task, reservation] : input_.reservations) {
         if (reservation.until <= input_.now || reservation.waiting) continue;
         result_.reservations.emplace(task, reservation);
-        hold(reservation);
+        reserve(reservation);
     }
     for (const auto& reservation : input_.peer_reservations) {
-        if (!reservation.waiting) hold(reservation);
+        if (!reservation.waiting) reserve(reservation);
     }
 }
 
@@ -78,7 +78,7 @@
     const MachineView* view = capacity_.machines()[machine].view;
     const TaskStatus* listed = view == nullptr ? nullptr : view->task(entry.job.id, task);
     if (listed == nullptr) return false;
-    // A gang's replacement bears the attempt number that its worker knows as exited.
+    // A gang's replacement has the attempt number that its worker knows as exited.
     return listed->state != TaskState::exited || entry.job.kind == JobKind::gang;
 }
 
--- a/src/core/placement_trial.hpp
+++ b/src/core/placement_trial.hpp
@@ -1,5 +1,5 @@
-// What one placement pass has decided so far: starts, stops and reservations, and what they leave of free
-// capacity, of the teams' limits and of the pass's own bounds. The steps of a pass share one trial.
+/// What one placement pass has decided so far: starts, stops and reservations, and what they leave of free
+/// capacity, of the teams' limits and of the pass's own bounds. The steps of a pass share one trial.
 #pragma once
 
 #include <map>
@@ -11,9 +11,10 @@
 
 namespace hatchwind::core {
 
+/// The working state of one pass. Decisions go to result() and are taken out of capacity() at once.
 class PlacementTrial {
   public:
-    // Both outlive the trial.
+    /// Both arguments have to outlive the trial.
     PlacementTrial(const PlacementInput& input, FreeCapacity& capacity);
 
     const PlacementInput& input() const { return input_; }
@@ -21,32 +22,35 @@
     const FreeCapacity& capacity() const { return capacity_; }
     PlacementResult& result() { return result_; }
 
-    // The pass has as many starts, or touches as many store records, as its input allows.
+    /// The pass has made as many starts, or touches as many store records, as its input allows.
     bool full() const;
-    // Counts what this pass stops: it is on its machine until the worker says that it is gone.
+    /// The team's limit allows that many more tasks. Counts what this pass stops: it is on its machine until
+    /// the worker says that it is gone.
     bool within_limit(const Job& job, std::uint32_t more_tasks = 1) const;
-    // The same with nothing running but the team's services, which run until somebody cancels them.
+    /// The same with nothing running but the team's services, which run until somebody cancels them.
     bool within_limit_beside_services(const Job& job, std::uint32_t more_tasks) const;
-    // Of a team of the input: its recorded attempts and this pass's decisions, less what it stops.
+    /// What a team of the input uses: its recorded attempts and this pass's decisions, less what the pass
+    /// stops.
     const Resources& team_use(const std::string& team) const { return team_use_.at(team); }
     void charge_team(const std::string& team, const Resources& amount) { team_use_[team] += amount; }
-    // A running task of that job is told to stop.
+    /// A running task of that job is told to stop.
     void stop(const Job& job);
 
-    // CPUs that this pass has not given away yet.
+    /// Free CPUs that this pass has not assigned yet, on spot and on on-demand machines.
     double free_spot_cpus() const { return free_spot_cpus_; }
     double free_ordinary_cpus() const { return free_ordinary_cpus_; }
 
     void start(const JobEntry& entry, std::uint32_t task, std::uint64_t attempt, std::size_t machine);
     bool started(const TaskRef& task) const { return started_.contains(task); }
-    // An attempt of this task that is still on the machine would make the worker refuse the start. One that
-    // has exited is listed until its reap, which may take long when a copy of its start is under way.
+    /// An attempt of this task that is still on the machine would make the worker refuse the start. One that
+    /// has exited is listed until the controller acknowledges the exit, which may take long when a copy of
+    /// its start is under way.
     bool listed_on(std::size_t machine, const JobEntry& entry, std::uint32_t task) const;
 
-    void hold(const Reservation& reservation) { take_reserved(reservation, 1.0); }
+    void reserve(const Reservation& reservation) { take_reserved(reservation, 1.0); }
     void release(const Reservation& reservation) { take_reserved(reservation, -1.0); }
 
-    // Takes back the starts of one team that came after the savepoint.
+    /// Rolling back undoes the starts of one team that came after the savepoint.
     struct Savepoint {
         std::size_t capacity_mark = 0;
         std::size_t starts = 0;
@@ -59,7 +63,7 @@
   private:
     bool fits_limit(const Job& job, const Resources& use, std::uint32_t more_tasks) const;
     void take_reserved(const Reservation& reservation, double sign);
-    void hold_known_reservations();
+    void reserve_known();
     void count_free_cpus();
 
     const PlacementInput& input_;
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -11,7 +11,7 @@
 // Time for a stop to be carried out and reported, beyond its grace period.
 constexpr Micros kStopTime{4'000'000};
 constexpr double kSaveMarginSeconds = 0.5;
-// Above every priority.
+// More than the highest priority.
 constexpr int kBegunLatePenalty = 8;
 
 enum LostWork : int { kNothingLost = 0, kSavedInPart = 1, kAllLost = 2 };
@@ -24,14 +24,14 @@
 
 Preemption::Preemption(PlacementTrial& trial, FairShareRanking& ranking) : trial_(trial), ranking_(ranking) {
     for (const auto& objective : *trial.input().objectives) {
-        if (objective.kind == "guarantee") patience_ = from_seconds(objective.within_s / 2);
+        if (objective.kind == "guarantee") preemption_delay_ = from_seconds(objective.within_s / 2);
     }
 }
 
 bool Preemption::may_preempt_yet(const Job& job) const {
-    // Tasks of arrays end all the time, and the queue's order gives what they leave to whom a stop would
-    // serve. Only who has waited for half the time that a quota allows stops others' work.
-    return job.kind != JobKind::array || trial_.input().wall_clock_now - job.accepted >= patience_;
+    // Tasks of arrays end all the time, and the queue's order assigns what they free to the jobs that a stop
+    // would serve. Only a job that has waited for half the time that a quota allows preempts others.
+    return job.kind != JobKind::array || trial_.input().wall_clock_now - job.accepted >= preemption_delay_;
 }
 
 Priority Preemption::inherited_or_own(const Job& job) const {
@@ -109,7 +109,7 @@
     return *victims_[machine];
 }
 
-bool Preemption::worth_a_look(const Request& request, const MachineCapacity& machine) const {
+bool Preemption::may_host(const Request& request, const MachineCapacity& machine) const {
     const Job& job = request.entry.job;
     if (machine.recorded_attempts == nullptr) return false;
     if (request.with_image && !machine.has_image(job.image)) return false;
@@ -142,7 +142,7 @@
     const auto& machines = trial_.capacity().machines();
     Plan cheapest;
     for (std::size_t i = 0; i < machines.size(); ++i) {
-        if (!worth_a_look(request, machines[i])) continue;
+        if (!may_host(request, machines[i])) continue;
         Plan plan = plan_on(i, request);
         if (plan.victims.empty()) continue;
         if (cheapest.victims.empty() || plan.cost < cheapest.cost) cheapest = std::move(plan);
@@ -172,7 +172,7 @@
     if (trial_.result().stops.size() >= trial_.input().most_stops) return false;
     if (!may_preempt_yet(job)) return false;
     const PreemptionRank rank = ranking_.rank(job, stopping_priority(job));
-    // A search that found nothing finds nothing for the next job of that shape and claim.
+    // A search that found nothing finds nothing for the next job of that shape and rank.
     const SearchKey key{shape(job), rank, job.team, with_image ? job.image : std::string{}};
     if (without_victims_.contains(key)) return false;
     const Plan plan = cheapest_plan({entry, zones, task, with_image, rank});
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -1,4 +1,4 @@
-// Preemption: chooses running tasks to stop so that a task with a better claim finds free capacity.
+/// Preemption: chooses running tasks to stop so that a task of higher rank finds free capacity.
 #pragma once
 
 #include <optional>
@@ -11,16 +11,17 @@
 
 namespace hatchwind::core {
 
+/// Preempts within one placement pass.
 class Preemption {
   public:
     Preemption(PlacementTrial& trial, FairShareRanking& ranking);
 
-    // Stops what is needed for the task and reserves the machine for it; false when nothing suits.
-    // `with_image`: only on machines that have the job's image.
+    /// Stops what is needed for the task and reserves the capacity for it; false when nothing suits.
+    /// `with_image`: only on machines that have the job's image.
     bool preempt(const JobEntry& entry, const ZoneUse& zones, std::uint32_t task, bool with_image = false);
 
   private:
-    // Least lost first.
+    // In ascending order: the victim whose stop loses least comes first.
     struct VictimCost {
         int priority = 0;
         int lost_work = 0;
@@ -34,7 +35,7 @@
         VictimCost cost;
         PreemptionRank rank;
         const Resources* team_use = nullptr;  // what its team uses in this pass
-        const Team* team = nullptr;           // and what it is guaranteed
+        const Team* team = nullptr;           // and its quota
         bool stopping = false;
     };
     struct PlanCost {
@@ -50,7 +51,7 @@
         std::vector<Victim*> victims;
         PlanCost cost;
     };
-    // Who asks for what.
+    // The task that needs capacity.
     struct Request {
         const JobEntry& entry;
         const ZoneUse& zones;
@@ -68,10 +69,10 @@
 
     bool may_preempt_yet(const Job& job) const;
     Priority inherited_or_own(const Job& job) const;
-    // The priority with which the job stops others.
+    // The priority with which the job preempts others.
     Priority stopping_priority(const Job& job) const;
     static bool may_stop(const Job& job, const PreemptionRank& rank, const Victim& victim);
-    bool worth_a_look(const Request& request, const MachineCapacity& machine) const;
+    bool may_host(const Request& request, const MachineCapacity& machine) const;
     // The cheapest plan; without victims when there is none.
     Plan cheapest_plan(const Request& request);
     Plan plan_on(std::size_t machine, const Request& request);
@@ -85,7 +86,7 @@
 
     PlacementTrial& trial_;
     FairShareRanking& ranking_;
-    Micros patience_{};
+    Micros preemption_delay_{};
     std::set<SearchKey> without_victims_;
     std::vector<std::optional<std::vector<Victim>>> victims_;  // by machine; none: not looked for yet
 };
--- a/src/core/queue_order.cpp
+++ b/src/core/queue_order.cpp
@@ -7,22 +7,24 @@
 
 namespace {
 
+// Seconds from acceptance: no late due time is earlier.
 constexpr double kLeastLateDueSeconds = 240.0;
 
-// Once all wishes are missed: behind what can still be met, since serving the latest first under overload
-// makes every job late in turn; but by a time of its own, so that newcomers do not pass it for ever.
-Micros late_due(const Job& job, double last_wish_s) {
-    return job.accepted + from_seconds(std::max(kLeastLateDueSeconds, 2 * last_wish_s));
+// Due time once all objectives are missed: behind what can still be met, since serving the latest first under
+// overload makes every job late in turn; but a time of its own, so that newcomers do not pass it for ever.
+Micros late_due(const Job& job, double last_objective_s) {
+    return job.accepted + from_seconds(std::max(kLeastLateDueSeconds, 2 * last_objective_s));
 }
 
-// When the job would have to be done for this objective. A wait is over with the start: counted to the end,
-// as the others are, a class with a wish for its wait looked as if it were late before its time, and machines
-// were rented for that.
+// Seconds from acceptance by which the job has to be done for this objective. A wait ends with the start:
+// counted to the end, as the others are, a class with an objective for its wait looked late too early, and
+// machines were scaled out for that.
 double done_within(const Job& job, const Objective& objective) {
     return objective.kind == "wait" ? objective.within_s + job.estimate_s : objective.within_s;
 }
 
-double last_wish(const Job& job, const std::vector<Objective>& objectives) {
+// Seconds from acceptance.
+double last_objective(const Job& job, const std::vector<Objective>& objectives) {
     double last = job.deadline_s.value_or(0);
     for (const auto& objective : objectives) {
         if (objective.job_class == job.job_class) last = std::max(last, done_within(job, objective));
@@ -30,10 +32,10 @@
     return last;
 }
 
-// The job's own wishes, without what pipelines ask of it.
+// By the job's own deadline and objectives, without what pipelines require of it.
 Micros own_due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall_clock_now) {
     const Micros run = from_seconds(job.estimate_s * kTrustedShareOfEstimate);
-    Micros due = late_due(job, last_wish(job, objectives));
+    Micros due = late_due(job, last_objective(job, objectives));
     const auto consider = [&](double within_s) {
         const Micros at = job.accepted + from_seconds(within_s);
         if (at >= wall_clock_now + run) due = std::min(due, at);
--- a/src/core/range_set.hpp
+++ b/src/core/range_set.hpp
@@ -1,4 +1,4 @@
-// A set of task numbers kept as ranges: a finished job of 100,000 tasks costs one of them.
+/// A set of task numbers kept as ranges: a finished job of 100,000 tasks costs one of them.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,16 @@
 
 namespace hatchwind::core {
 
+/// Ascending, disjoint ranges that do not touch one another.
 class RangeSet {
   public:
-    bool contains(std::uint32_t v) const {
-        auto it = ranges_.upper_bound(v);
-        return it != ranges_.begin() && std::prev(it)->second >= v;
+    bool contains(std::uint32_t value) const {
+        auto it = ranges_.upper_bound(value);
+        return it != ranges_.begin() && std::prev(it)->second >= value;
     }
-    // False when it was in the set already.
-    bool insert(std::uint32_t v) { return insert(v, v) != 0; }
-    // Adds first..last; returns how many were new.
+    /// False when it was in the set already.
+    bool insert(std::uint32_t value) { return insert(value, value) != 0; }
+    /// Adds first..last; returns how many were new.
     std::uint32_t insert(std::uint32_t first, std::uint32_t last) {
         const std::uint32_t before = size_;
         auto it = ranges_.upper_bound(first);
@@ -35,7 +36,9 @@
         size_ += to - from + 1;
         return size_ - before;
     }
+    /// Number of values, not of ranges.
     std::uint32_t size() const { return size_; }
+    /// First value of each range -> last value.
     const std::map<std::uint32_t, std::uint32_t>& ranges() const { return ranges_; }
     friend bool operator==(const RangeSet&, const RangeSet&) = default;
 
--- a/src/core/task_placement.cpp
+++ b/src/core/task_placement.cpp
@@ -42,7 +42,7 @@
     }
     if (!machine) machine = next_candidate(search, task);
     if (!machine && reserved) {
-        trial_.hold(reservation->second);
+        trial_.reserve(reservation->second);
         return Outcome::waits;
     }
     if (!machine) {
@@ -56,7 +56,7 @@
         reservations.erase(reservation);
     } else if (image_comes_too_late(search, *machine) &&
                preemption_.preempt(entry, search.zones, task, true)) {
-        // Its users wait no longer than this: capacity beside the image is worth another task's place.
+        // The objective allows no longer wait: a place where the image is cached is worth preempting a task.
         return Outcome::waits;
     }
     start(search, task, *machine);
--- a/src/core/task_placement.hpp
+++ b/src/core/task_placement.hpp
@@ -1,4 +1,4 @@
-// Places the tasks of one job one by one: each starts where it fits, preempts, or waits.
+/// Places tasks of arrays and services one by one: each starts where it fits, preempts, or waits.
 #pragma once
 
 #include <optional>
@@ -12,15 +12,16 @@
 
 namespace hatchwind::core {
 
+/// Places tasks within one placement pass.
 class TaskPlacement {
   public:
     TaskPlacement(PlacementTrial& trial, CandidateSearch& search, FairShareRanking& ranking,
                   Preemption& preemption)
         : trial_(trial), search_(search), ranking_(ranking), preemption_(preemption) {}
 
-    // As many tasks as the pass and the team's limit allow.
+    /// Starts as many tasks as the pass and the team's limit allow.
     void place_all(const JobEntry& entry) { place(entry, Extent::all); }
-    // The first task of an overdue job, which waits for nobody.
+    /// Starts the first task of an overdue job, whatever is reserved for the quotas of others.
     void place_first(const JobEntry& entry) { place(entry, Extent::first); }
 
   private:
