--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -1,6 +1,8 @@
 #include "api/user_api.hpp"
 
 #include "api/user_responses.hpp"
+#include "wire/identifiers.hpp"
+#include "wire/user_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/api/user_api_cancel.cpp
+++ b/src/api/user_api_cancel.cpp
@@ -2,6 +2,10 @@
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
 #include "store/store_keys.hpp"
+#include "wire/identifiers.hpp"
+#include "wire/records.hpp"
+#include "wire/store_api.hpp"
+#include "wire/user_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/api/user_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -5,6 +5,10 @@
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
 #include "store/store_keys.hpp"
+#include "wire/identifiers.hpp"
+#include "wire/records.hpp"
+#include "wire/store_api.hpp"
+#include "wire/user_api.hpp"
 
 namespace hatchwind::controller {
 
@@ -65,15 +69,15 @@
     const auto body = submission_body(request);
     if (!body) co_return plain_response(400);
     auto parsed = wire::parse_submission(*body);
-    if (const auto* wrong = std::get_if<std::string>(&parsed)) {
-        HttpResponse refusal = response_with(400, {{"error", "invalid field " + *wrong}});
-        std::string named = wire::text(*body, "id").value_or("");
+    if (!parsed) {
+        HttpResponse refusal = response_with(400, wire::error_answer(parsed.error()));
+        std::string named = wire::submitted_id(*body);
         if (!wire::is_job_id(named)) co_return refusal;
         auto refusing = refuse_unless_accepted(std::move(named), std::move(refusal));
         HttpResponse response = co_await std::move(refusing);
         co_return response;
     }
-    auto deciding = decide_submission(std::get<core::Job>(std::move(parsed)));
+    auto deciding = decide_submission(*std::move(parsed));
     HttpResponse response = co_await std::move(deciding);
     co_return response;
 }
@@ -85,7 +89,7 @@
                        context_.replicated.job_table().find(job.id) != nullptr;
     const std::optional<std::string> why = known || !context_.catalog ? std::nullopt : impossible(job);
     if (known || !context_.catalog || why) {
-        HttpResponse refusal = why ? response_with(422, {{"error", *why}}) : retry_later();
+        HttpResponse refusal = why ? response_with(422, wire::error_answer(*why)) : retry_later();
         auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
         HttpResponse response = co_await std::move(refusing);
         co_return response;
@@ -100,7 +104,8 @@
         const auto dependencies = co_await std::move(settling);
         if (dependencies == DependencyAdmission::DependencyStatus::undecided) co_return retry_later();
         if (dependencies == DependencyAdmission::DependencyStatus::never_accepted) {
-            HttpResponse refusal = response_with(422, {{"error", "awaits a job that was never accepted"}});
+            HttpResponse refusal =
+                response_with(422, wire::error_answer("awaits a job that was never accepted"));
             auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
             HttpResponse response = co_await std::move(refusing);
             co_return response;
--- a/src/scaling/cordon_record.cpp
+++ b/src/scaling/cordon_record.cpp
@@ -3,6 +3,8 @@
 #include <utility>
 
 #include "store/store_keys.hpp"
+#include "wire/records.hpp"
+#include "wire/store_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/scaling/instance_inventory.cpp
+++ b/src/scaling/instance_inventory.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "wire/cloud_api.hpp"
+
 namespace hatchwind::controller {
 
 using core::from_seconds;
@@ -23,7 +25,7 @@
         auto task = cloud_.call("GET", std::move(target), "");
         const io::HttpReply reply = co_await std::move(task);
         const auto body = reply.status == 200 ? wire::decode(reply.body) : std::nullopt;
-        const auto page = body ? wire::parse_instances(*body) : std::nullopt;
+        const auto page = body ? wire::parse_instances(*body).optional() : std::nullopt;
         if (!page) {
             if (reply.status == 200) cloud_.record_malformed("list");
             co_return reading;
--- a/src/scaling/scale_out.cpp
+++ b/src/scaling/scale_out.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "wire/messages.hpp"
+#include "wire/cloud_api.hpp"
 
 namespace hatchwind::controller {
 
@@ -87,7 +87,7 @@
 
 void ScaleOut::take_reply(const core::InstancePool& pool, unsigned number, const io::HttpReply& reply) {
     const auto body = reply.status == 200 ? wire::decode(reply.body) : std::nullopt;
-    const auto machines = body ? wire::parse_rented(*body) : std::nullopt;
+    const auto machines = body ? wire::parse_rented(*body).optional() : std::nullopt;
     if (machines) {
         for (const auto& machine : *machines) inventory_.add_requested(machine, pool);
         spdlog::info("event=instances_requested type={} zone={} spot={} wanted={} got={}", pool.type,
--- a/src/scaling/scaling_controller.cpp
+++ b/src/scaling/scaling_controller.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "wire/cloud_api.hpp"
+
 namespace hatchwind::controller {
 
 using core::from_seconds;
@@ -56,7 +58,7 @@
     const io::HttpReply reply = co_await std::move(task);
     if (reply.status != 200) co_return;
     const auto body = wire::decode(reply.body);
-    auto catalog = body ? wire::parse_catalog(*body) : std::nullopt;
+    auto catalog = body ? wire::parse_catalog(*body).optional() : std::nullopt;
     if (!catalog || catalog->empty()) {
         cloud_.record_malformed("catalog");
         co_return;
--- a/src/scheduling/attempt_page_split.cpp
+++ b/src/scheduling/attempt_page_split.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-#include "wire/messages.hpp"
+#include "wire/records.hpp"
 
 namespace hatchwind::controller {
 
 namespace {
-constexpr std::size_t kPageFrame = 8;   // {"c":{}} and the value's own braces
+constexpr std::size_t kPageFrame = 8;   // of a page record without chunks
 constexpr std::size_t kChunkFrame = 8;  // quotes, slash, colon, comma
 }  // namespace
 
--- a/src/scheduling/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -8,6 +8,8 @@
 #include "scheduling/page_assignment.hpp"
 #include "store/replica.hpp"
 #include "store/store_keys.hpp"
+#include "wire/job_status.hpp"
+#include "wire/records.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 
 #include "store/store_keys.hpp"
+#include "wire/job_status.hpp"
+#include "wire/records.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/scheduling/dependency_reconciler.hpp
+++ b/src/scheduling/dependency_reconciler.hpp
@@ -11,6 +11,7 @@
 #include "store/replica.hpp"
 #include "store/replicated_state.hpp"
 #include "store/store_client.hpp"
+#include "wire/store_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/scheduling/write_unit.hpp
+++ b/src/scheduling/write_unit.hpp
@@ -7,7 +7,7 @@
 
 #include "scheduling/open_attempt.hpp"
 #include "store/final_state_cache.hpp"
-#include "wire/messages.hpp"
+#include "wire/store_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/store/final_state_cache.hpp
+++ b/src/store/final_state_cache.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "wire/messages.hpp"
+#include "wire/job_status.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/store/final_state_reader.cpp
+++ b/src/store/final_state_reader.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "store/store_keys.hpp"
+#include "wire/records.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -14,6 +14,7 @@
 #include "store/final_state_cache.hpp"
 #include "store/replicated_state.hpp"
 #include "store/store_client.hpp"
+#include "wire/store_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/store/replicated_state.cpp
+++ b/src/store/replicated_state.cpp
@@ -9,6 +9,8 @@
 
 #include "io/loop.hpp"
 #include "store/store_keys.hpp"
+#include "wire/identifiers.hpp"
+#include "wire/records.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/store/replicated_state.hpp
+++ b/src/store/replicated_state.hpp
@@ -12,8 +12,8 @@
 
 #include "core/epoch.hpp"
 #include "core/job_table.hpp"
-#include "wire/messages.hpp"
 #include "wire/peer_protocol.hpp"
+#include "wire/store_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -129,7 +129,7 @@
     if (r.status != 200) co_return std::nullopt;
     const auto v = parse(r, "list");
     if (!v) co_return std::nullopt;
-    co_return wire::parse_page(*v);
+    co_return wire::parse_page(*v).optional();
 }
 
 Task<CommitResult> StoreClient::commit(wire::Transaction t, Micros deadline, CommitPriority priority) {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -7,7 +7,7 @@
 #include "config/settings.hpp"
 #include "io/http.hpp"
 #include "store/token_bucket.hpp"
-#include "wire/messages.hpp"
+#include "wire/store_api.hpp"
 
 namespace hatchwind::controller {
 
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -13,8 +13,12 @@
 
   public:
     explicit BoundedSax(Json& into) : Base(into, false) {}
-    bool start_object(std::size_t n) { return ++depth_ <= kDepth && n_ok(n) && Base::start_object(n); }
-    bool start_array(std::size_t n) { return ++depth_ <= kDepth && n_ok(n) && Base::start_array(n); }
+    bool start_object(std::size_t length) {
+        return ++depth_ <= kMostDepth && acceptable(length) && Base::start_object(length);
+    }
+    bool start_array(std::size_t length) {
+        return ++depth_ <= kMostDepth && acceptable(length) && Base::start_array(length);
+    }
     bool end_object() {
         --depth_;
         return Base::end_object();
@@ -26,9 +30,12 @@
     bool binary(Json::binary_t& /*unused*/) { return false; }
 
   private:
-    // A length that no body of ours can hold; unknown lengths are allowed.
-    static bool n_ok(std::size_t n) { return n == static_cast<std::size_t>(-1) || n < (1U << 24U); }
-    static constexpr int kDepth = 16;
+    static constexpr int kMostDepth = 16;
+    static constexpr std::size_t kUnknownLength = static_cast<std::size_t>(-1);
+    static constexpr std::size_t kLengthLimit = 1U << 24U;  // more items than any body that is read can hold
+
+    static bool acceptable(std::size_t length) { return length == kUnknownLength || length < kLengthLimit; }
+
     int depth_ = 0;
 };
 
@@ -41,51 +48,63 @@
 }  // namespace
 
 std::optional<Json> decode(std::string_view body) {
-    Json out;
-    BoundedSax sax{out};
+    Json value;
+    BoundedSax sax{value};
     if (!Json::sax_parse(body.begin(), body.end(), &sax, Json::input_format_t::cbor, true))
         return std::nullopt;
-    return out;
+    return value;
 }
 
-std::string encode(const Json& v) {
-    std::string out;
-    Json::to_cbor(v, out);
-    return out;
+std::string encode(const Json& value) {
+    std::string body;
+    Json::to_cbor(value, body);
+    return body;
 }
 
 std::optional<std::string> text(const Json& map, const char* key) {
-    const Json* f = field(map, key);
-    if (f == nullptr || !f->is_string()) return std::nullopt;
-    return f->get_ref<const std::string&>();
+    const Json* value = field(map, key);
+    if (value == nullptr || !value->is_string()) return std::nullopt;
+    return value->get_ref<const std::string&>();
 }
 
 std::optional<std::uint64_t> whole(const Json& map, const char* key) {
-    const Json* f = field(map, key);
-    if (f == nullptr) return std::nullopt;
-    if (f->is_number_unsigned()) return f->get<std::uint64_t>();
-    if (f->is_number_integer() && f->get<std::int64_t>() >= 0)
-        return static_cast<std::uint64_t>(f->get<std::int64_t>());
+    const Json* value = field(map, key);
+    if (value == nullptr) return std::nullopt;
+    if (value->is_number_unsigned()) return value->get<std::uint64_t>();
+    if (value->is_number_integer() && value->get<std::int64_t>() >= 0)
+        return static_cast<std::uint64_t>(value->get<std::int64_t>());
     return std::nullopt;
 }
 
 std::optional<double> number(const Json& map, const char* key) {
-    const Json* f = field(map, key);
-    if (f == nullptr || !f->is_number()) return std::nullopt;
-    const double v = f->get<double>();
-    if (!std::isfinite(v)) return std::nullopt;
-    return v;
+    const Json* value = field(map, key);
+    if (value == nullptr || !value->is_number()) return std::nullopt;
+    const auto found = value->get<double>();
+    if (!std::isfinite(found)) return std::nullopt;
+    return found;
 }
 
 std::optional<bool> flag(const Json& map, const char* key) {
-    const Json* f = field(map, key);
-    if (f == nullptr || !f->is_boolean()) return std::nullopt;
-    return f->get<bool>();
+    const Json* value = field(map, key);
+    if (value == nullptr || !value->is_boolean()) return std::nullopt;
+    return value->get<bool>();
 }
 
 const Json* list(const Json& map, const char* key) {
-    const Json* f = field(map, key);
-    return f != nullptr && f->is_array() ? f : nullptr;
+    const Json* value = field(map, key);
+    return value != nullptr && value->is_array() ? value : nullptr;
+}
+
+std::optional<std::vector<std::string>> text_list(const Json& map, const char* key) {
+    const Json* values = list(map, key);
+    if (values == nullptr) return std::nullopt;
+    std::vector<std::string> texts;
+    texts.reserve(values->size());
+    for (const auto& value : *values) {
+        if (!value.is_string()) return std::nullopt;
+        texts.push_back(value.get<std::string>());
+    }
+    return texts;
 }
 
 bool present(const Json& map, const char* key) { return field(map, key) != nullptr; }
--- a/src/wire/cbor.hpp
+++ b/src/wire/cbor.hpp
@@ -1,4 +1,5 @@
-// CBOR bodies and their checked reading. Built on nlohmann::json; depth is bounded here.
+/// CBOR bodies and the checked reading of their fields, on nlohmann::json. Nothing here throws for what
+/// others sent: each reader returns nothing instead.
 #pragma once
 
 #include <cstdint>
@@ -6,23 +7,31 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <vector>
 
 namespace hatchwind::wire {
 
 using Json = nlohmann::json;
 
-// Nothing for malformed, over-deep or binary-holding input, and for bytes after the value.
+/// The value that the body holds. Nothing for input that is malformed, nested too deeply or holds binary
+/// strings, and for bytes after the value.
 std::optional<Json> decode(std::string_view body);
-std::string encode(const Json& v);
+/// The CBOR form of a value.
+std::string encode(const Json& value);
 
-// Field readers: nothing when the field is missing, null or of another type.
+/// A text; nothing when the field is missing, null or of another type. So for the other readers of fields.
 std::optional<std::string> text(const Json& map, const char* key);
+/// A number that is whole and not negative.
 std::optional<std::uint64_t> whole(const Json& map, const char* key);
-std::optional<double> number(const Json& map, const char* key);  // finite
+/// A finite number, whole or not.
+std::optional<double> number(const Json& map, const char* key);
+/// True or false.
 std::optional<bool> flag(const Json& map, const char* key);
-// The list under the key, or null when it is missing or no list.
+/// The list under the key, as a part of `map`; null when the field is missing or no list.
 const Json* list(const Json& map, const char* key);
-// True when the field is there and not null.
+/// A list of nothing but texts.
+std::optional<std::vector<std::string>> text_list(const Json& map, const char* key);
+/// True when the field is there and not null.
 bool present(const Json& map, const char* key);
 
 }  // namespace hatchwind::wire
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-#include "wire/messages.hpp"
+#include "wire/worker_api.hpp"
 #include "workers/worker_http_limits.hpp"
 
 namespace hatchwind::controller {
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "wire/messages.hpp"
+#include "wire/worker_api.hpp"
 
 namespace hatchwind::controller {
 
@@ -65,7 +65,7 @@
 
 HttpResponse HeartbeatHandler::handle(const std::string& body) {
     const auto decoded = wire::decode(body);
-    auto heartbeat = decoded ? wire::parse_worker_heartbeat(*decoded) : std::nullopt;
+    auto heartbeat = decoded ? wire::parse_worker_heartbeat(*decoded).optional() : std::nullopt;
     HttpResponse response;
     if (!heartbeat) {
         ++malformed_;
--- a/src/workers/worker_status.cpp
+++ b/src/workers/worker_status.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "io/socket.hpp"
-#include "wire/messages.hpp"
+#include "wire/worker_api.hpp"
 
 namespace hatchwind::controller {
 
@@ -100,7 +100,7 @@
 
 void WorkerStatus::handle_response_body(const std::string& body) {
     const auto decoded = wire::decode(body);
-    auto status = decoded ? wire::parse_worker_heartbeat(*decoded) : std::nullopt;
+    auto status = decoded ? wire::parse_worker_heartbeat(*decoded).optional() : std::nullopt;
     if (!status) {
         ++malformed_responses_;
         spdlog::warn("event=malformed_command_response count={}", malformed_responses_);
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -2,6 +2,8 @@
 #include <gtest/gtest.h>
 
 #include "site.hpp"
+#include "wire/records.hpp"
+#include "wire/user_api.hpp"
 
 namespace hatchwind {
 namespace {
@@ -96,12 +98,12 @@
                                          Json::array({"req-7"})};
     for (const Json& dependencies : malformed) {
         const auto parsed = parse(dependencies);
-        ASSERT_TRUE(std::holds_alternative<std::string>(parsed)) << dependencies;
-        EXPECT_EQ(std::get<std::string>(parsed), "awaits");
+        ASSERT_FALSE(parsed.has_value()) << dependencies;
+        EXPECT_EQ(parsed.error().field, "awaits");
     }
-    EXPECT_TRUE(std::get<core::Job>(parse(nullptr)).dependencies.empty());
-    EXPECT_TRUE(std::get<core::Job>(parse(Json::array())).dependencies.empty());
-    const auto twice = std::get<core::Job>(parse(Json::array({"req-2", "req-1", "req-2"})));
+    EXPECT_TRUE(parse(nullptr)->dependencies.empty());
+    EXPECT_TRUE(parse(Json::array())->dependencies.empty());
+    const auto twice = *parse(Json::array({"req-2", "req-1", "req-2"}));
     EXPECT_EQ(twice.dependencies, (std::vector<std::string>{"req-1", "req-2"}));
 }
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -4,6 +4,7 @@
 #include "controller/controller.hpp"
 #include "site.hpp"
 #include "support.hpp"
+#include "wire/records.hpp"
 
 namespace hatchwind {
 namespace {
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -12,6 +12,7 @@
 #include "site.hpp"
 #include "support.hpp"
 #include "wire/peer_protocol.hpp"
+#include "wire/records.hpp"
 
 namespace hatchwind {
 namespace {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,5 +1,10 @@
 #include "support.hpp"
-#include "wire/messages.hpp"
+#include "wire/cloud_api.hpp"
+#include "wire/identifiers.hpp"
+#include "wire/records.hpp"
+#include "wire/store_api.hpp"
+#include "wire/user_api.hpp"
+#include "wire/worker_api.hpp"
 
 namespace hatchwind {
 namespace {
@@ -17,8 +22,8 @@
 
 TEST(Submission, ReadsEveryField) {
     const auto parsed = wire::parse_submission(submission());
-    ASSERT_TRUE(std::holds_alternative<core::Job>(parsed));
-    const auto& j = std::get<core::Job>(parsed);
+    ASSERT_TRUE(parsed.has_value());
+    const auto& j = *parsed;
     EXPECT_EQ(j.id, "req-000412");
     EXPECT_EQ(j.tasks, 16U);
     EXPECT_EQ(j.priority, core::Priority::high);
@@ -34,10 +39,16 @@
         const bool optional = key == "builds" || key == "roost" || key == "dueS";
         Json without = good;
         without.erase(key);
-        EXPECT_EQ(std::holds_alternative<core::Job>(wire::parse_submission(without)), optional) << key;
+        const auto without_it = wire::parse_submission(without);
+        EXPECT_EQ(without_it.has_value(), optional) << key;
+        if (!optional) {
+            EXPECT_EQ(without_it.error().field, key);
+        }
         Json wrong = good;
         wrong[key] = Json::object();
-        EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_submission(wrong))) << key;
+        const auto ill_typed = wire::parse_submission(wrong);
+        ASSERT_FALSE(ill_typed.has_value()) << key;
+        EXPECT_EQ(ill_typed.error().field, key);
     }
 }
 
@@ -48,13 +59,17 @@
                                  std::numeric_limits<double>::infinity()}) {
             Json v = submission();
             v[key] = bad;
-            EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_submission(v))) << key << bad;
+            const auto parsed = wire::parse_submission(v);
+            ASSERT_FALSE(parsed.has_value()) << key << bad;
+            EXPECT_EQ(parsed.error().field, key) << bad;
         }
     }
     for (const Json& bad : {Json(0), Json(-3), Json(100'001), Json(2.5), Json("2")}) {
         Json v = submission();
         v["legs"] = bad;
-        EXPECT_TRUE(std::holds_alternative<std::string>(wire::parse_submission(v))) << bad;
+        const auto parsed = wire::parse_submission(v);
+        ASSERT_FALSE(parsed.has_value()) << bad;
+        EXPECT_EQ(parsed.error().field, "legs") << bad;
     }
 }
 
