--- a/src/wire/peer_protocol.cpp
+++ b/src/wire/peer_protocol.cpp
@@ -19,374 +19,414 @@
     cancellation = 8,
 };
 
+// A varint has seven bits of the number in each byte, the lowest first, and a bit that tells whether another
+// follows.
+constexpr std::uint8_t kPayloadBits = 0x7f;
+constexpr std::uint8_t kContinues = 0x80;
+constexpr unsigned kBitsOfByte = 7;
+// The length of a frame is below kMaxFrameBytes and so at most this long.
+constexpr std::size_t kMostLengthBytes = 4;
+
+constexpr auto kLastTaskState = static_cast<std::uint64_t>(core::TaskState::exited);
+constexpr auto kLastExitCause = static_cast<std::uint64_t>(core::ExitCause::unknown);
+
 class Writer {
   public:
-    explicit Writer(Kind k) { out_.push_back(static_cast<char>(k)); }
-    void u(std::uint64_t v) {
-        while (v >= 0x80) {
-            out_.push_back(static_cast<char>((v & 0x7fU) | 0x80U));
-            v >>= 7U;
+    explicit Writer(Kind kind) { bytes_.push_back(static_cast<char>(kind)); }
+    void varint(std::uint64_t value) {
+        while (value >= kContinues) {
+            bytes_.push_back(static_cast<char>((value & kPayloadBits) | kContinues));
+            value >>= kBitsOfByte;
         }
-        out_.push_back(static_cast<char>(v));
+        bytes_.push_back(static_cast<char>(value));
     }
     // Zigzag: small negative numbers stay short.
-    void i(std::int64_t v) { u((static_cast<std::uint64_t>(v) << 1U) ^ static_cast<std::uint64_t>(v >> 63)); }
-    void b(bool v) { u(v ? 1 : 0); }
-    void f(double v) { u(std::bit_cast<std::uint64_t>(v)); }
-    void s(std::string_view v) {
-        u(v.size());
-        out_.append(v);
+    void signed_varint(std::int64_t value) {
+        varint((static_cast<std::uint64_t>(value) << 1U) ^ static_cast<std::uint64_t>(value >> 63));
+    }
+    void flag(bool value) { varint(value ? 1 : 0); }
+    void number(double value) { varint(std::bit_cast<std::uint64_t>(value)); }
+    void text(std::string_view value) {
+        varint(value.size());
+        bytes_.append(value);
+    }
+    void texts(const std::vector<std::string>& values) {
+        varint(values.size());
+        for (const auto& value : values) text(value);
     }
+    // What was written, behind its length.
     std::string frame() const {
-        Writer head;
-        head.u(out_.size());
-        return head.out_ + out_;
+        Writer length;
+        length.varint(bytes_.size());
+        return length.bytes_ + bytes_;
     }
 
   private:
     Writer() = default;
-    std::string out_;
+    std::string bytes_;
 };
 
+// Reads on after an error and returns zeros and empty texts; `ok` tells of it once, at the end.
 class Reader {
   public:
-    explicit Reader(std::string_view in) : in_(in) {}
-    std::uint64_t u() {
-        std::uint64_t v = 0;
-        for (unsigned shift = 0; shift < 64; shift += 7) {
-            if (at_ >= in_.size()) break;
-            const auto c = static_cast<std::uint8_t>(in_[at_++]);
-            if (shift == 63 && c > 1) break;
-            v |= static_cast<std::uint64_t>(c & 0x7fU) << shift;
-            if ((c & 0x80U) == 0) return v;
+    explicit Reader(std::string_view bytes) : bytes_(bytes) {}
+    std::uint64_t varint() {
+        constexpr unsigned kLastShift = 63;  // of the only bit that the tenth byte may have
+        std::uint64_t value = 0;
+        for (unsigned shift = 0; shift <= kLastShift; shift += kBitsOfByte) {
+            if (at_ >= bytes_.size()) break;
+            const auto byte = static_cast<std::uint8_t>(bytes_[at_++]);
+            if (shift == kLastShift && byte > 1) break;
+            value |= static_cast<std::uint64_t>(byte & kPayloadBits) << shift;
+            if ((byte & kContinues) == 0) return value;
         }
         ok_ = false;
         return 0;
     }
-    std::int64_t i() {
-        const auto v = u();
-        return static_cast<std::int64_t>(v >> 1U) ^ -static_cast<std::int64_t>(v & 1U);
+    std::int64_t signed_varint() {
+        const auto value = varint();
+        return static_cast<std::int64_t>(value >> 1U) ^ -static_cast<std::int64_t>(value & 1U);
     }
-    bool b() {
-        const auto v = u();
-        if (v > 1) ok_ = false;
-        return v == 1;
+    bool flag() {
+        const auto value = varint();
+        if (value > 1) ok_ = false;
+        return value == 1;
     }
-    double f() {
-        const auto v = std::bit_cast<double>(u());
-        if (!std::isfinite(v)) ok_ = false;
-        return v;
+    double number() {
+        const auto value = std::bit_cast<double>(varint());
+        if (!std::isfinite(value)) ok_ = false;
+        return value;
     }
-    std::string s() {
-        const auto n = u();
-        if (!ok_ || n > in_.size() - at_) {
+    std::string text() {
+        const auto size = varint();
+        if (!ok_ || size > bytes_.size() - at_) {
             ok_ = false;
             return {};
         }
-        std::string out{in_.substr(at_, n)};
-        at_ += n;
-        return out;
+        std::string value{bytes_.substr(at_, size)};
+        at_ += size;
+        return value;
+    }
+    std::vector<std::string> texts() {
+        std::vector<std::string> values;
+        for (auto left = count(); left > 0 && ok_; --left) values.push_back(text());
+        return values;
     }
     // A count of items, each of which takes at least one byte.
     std::uint64_t count() {
-        const auto n = u();
-        if (n > in_.size() - at_) ok_ = false;
-        return ok_ ? n : 0;
+        const auto items = varint();
+        if (items > bytes_.size() - at_) ok_ = false;
+        return ok_ ? items : 0;
     }
-    // A count at the end of a message whose sender may be of an earlier version, which ends before it.
-    std::uint64_t optional_count() { return at_ == in_.size() ? 0 : count(); }
-    std::uint64_t optional_u() { return at_ == in_.size() ? 0 : u(); }
+    // At the end of a message whose sender may be of an earlier version, which ends before it.
+    std::uint64_t optional_count() { return at_ == bytes_.size() ? 0 : count(); }
+    std::uint64_t optional_varint() { return at_ == bytes_.size() ? 0 : varint(); }
     // Later versions may add fields at the end, so bytes left over are no error.
     bool ok() const { return ok_; }
 
   private:
-    std::string_view in_;
+    std::string_view bytes_;
     std::size_t at_ = 0;
     bool ok_ = true;
 };
 
-void put(Writer& w, const std::vector<CancellationNotice>& cancellations) {
-    w.u(cancellations.size());
+void write(Writer& writer, const std::vector<CancellationNotice>& cancellations) {
+    writer.varint(cancellations.size());
     for (const auto& notice : cancellations) {
-        w.s(notice.job);
-        w.u(notice.revision);
-        w.i(notice.cancelled_us);
+        writer.text(notice.job);
+        writer.varint(notice.revision);
+        writer.signed_varint(notice.cancelled_us);
     }
 }
-void put(Writer& w, const CancellationBroadcast& m) { put(w, m.cancellations); }
-void put(Writer& w, const PeerHandshake& m) {
-    w.u(m.version);
-    w.s(m.label);
+
+void write(Writer& writer, const CancellationBroadcast& message) { write(writer, message.cancellations); }
+
+void write(Writer& writer, const PeerHandshake& message) {
+    writer.varint(message.version);
+    writer.text(message.label);
 }
-void put(Writer& w, const PeerHeartbeat& m) {
-    w.s(m.label);
-    w.u(m.store_lease);
-    w.i(m.wall_us);
-    w.u(m.epoch);
-    w.b(m.state_ok);
-    w.b(m.healthy);
-    w.b(m.holds_leadership);
-    w.u(m.answered.size());
-    for (const auto& [machine, at] : m.answered) {
-        w.s(machine);
-        w.i(m.wall_us - at);  // ages are shorter than times
+
+void write(Writer& writer, const PeerHeartbeat& message) {
+    writer.text(message.label);
+    writer.varint(message.store_lease);
+    writer.signed_varint(message.wall_us);
+    writer.varint(message.epoch);
+    writer.flag(message.state_ok);
+    writer.flag(message.healthy);
+    writer.flag(message.holds_leadership);
+    writer.varint(message.answered.size());
+    for (const auto& [machine, at] : message.answered) {
+        writer.text(machine);
+        writer.signed_varint(message.wall_us - at);  // ages are shorter than times
     }
-    w.u(m.released.size());
-    for (const auto& r : m.released) w.s(r);
-    w.u(m.candidates.size());
-    for (const auto& c : m.candidates) w.s(c);
-    w.u(m.hears.size());
-    for (const auto& h : m.hears) w.s(h);
-    w.u(m.demand);
-    w.u(m.workers);
-    w.u(m.unanswered.size());
-    for (const auto& a : m.unanswered) w.s(a);
-    w.u(m.revision);
-    put(w, m.cancellations);
-    w.u(m.capabilities);
+    writer.texts(message.released);
+    writer.texts(message.candidates);
+    writer.texts(message.hears);
+    writer.varint(message.demand);
+    writer.varint(message.workers);
+    writer.texts(message.unanswered);
+    writer.varint(message.revision);
+    write(writer, message.cancellations);
+    writer.varint(message.capabilities);
 }
-void put(Writer& w, const WorkerStatusUpdate& m) {
-    const auto& r = m.heartbeat;
-    w.s(r.machine);
-    w.s(r.address);
-    w.s(r.type);
-    w.s(r.zone);
-    w.b(r.spot);
-    w.u(r.incarnation);
-    w.u(r.heartbeat_sequence);
-    w.u(r.fencing_token);
-    w.b(r.notice_s.has_value());
-    if (r.notice_s) w.f(*r.notice_s);
-    w.i(m.heard_us);
-    w.u(r.tasks.size());
-    for (const auto& t : r.tasks) {
-        w.s(t.job);
-        w.u(t.task);
-        w.u(t.attempt);
-        w.u(static_cast<std::uint64_t>(t.state));
-        w.u(static_cast<std::uint64_t>(t.cause));
-        w.b(t.saved);
+
+void write(Writer& writer, const WorkerStatusUpdate& message) {
+    const auto& heartbeat = message.heartbeat;
+    writer.text(heartbeat.machine);
+    writer.text(heartbeat.address);
+    writer.text(heartbeat.type);
+    writer.text(heartbeat.zone);
+    writer.flag(heartbeat.spot);
+    writer.varint(heartbeat.incarnation);
+    writer.varint(heartbeat.heartbeat_sequence);
+    writer.varint(heartbeat.fencing_token);
+    writer.flag(heartbeat.notice_s.has_value());
+    if (heartbeat.notice_s) writer.number(*heartbeat.notice_s);
+    writer.signed_varint(message.heard_us);
+    writer.varint(heartbeat.tasks.size());
+    for (const auto& task : heartbeat.tasks) {
+        writer.text(task.job);
+        writer.varint(task.task);
+        writer.varint(task.attempt);
+        writer.varint(static_cast<std::uint64_t>(task.state));
+        writer.varint(static_cast<std::uint64_t>(task.cause));
+        writer.flag(task.saved);
     }
-    w.u(m.images.size());
-    for (const auto& [image, gb] : m.images) {
-        w.s(image);
-        w.f(gb);
+    writer.varint(message.images.size());
+    for (const auto& [image, gb] : message.images) {
+        writer.text(image);
+        writer.number(gb);
     }
-    w.b(m.confirmed);
+    writer.flag(message.confirmed);
 }
-void put(Writer& w, const WorkerKeepAlive& m) {
-    w.s(m.machine);
-    w.u(m.incarnation);
-    w.u(m.heartbeat_sequence);
-    w.u(m.fencing_token);
-    w.u(m.content_sequence);
-    w.i(m.heard_us);
+
+void write(Writer& writer, const WorkerKeepAlive& message) {
+    writer.text(message.machine);
+    writer.varint(message.incarnation);
+    writer.varint(message.heartbeat_sequence);
+    writer.varint(message.fencing_token);
+    writer.varint(message.content_sequence);
+    writer.signed_varint(message.heard_us);
 }
-void put(Writer& w, const LeaseExtensionRequest& m) {
-    w.u(m.number);
-    w.u(m.life_us);
-    w.u(m.revision);
+
+void write(Writer& writer, const LeaseExtensionRequest& message) {
+    writer.varint(message.number);
+    writer.varint(message.life_us);
+    writer.varint(message.revision);
 }
-void put(Writer& w, const LeaseExtensionVote& m) {
-    w.u(m.number);
-    w.b(m.given);
-    put(w, m.cancellations);
+
+void write(Writer& writer, const LeaseExtensionVote& message) {
+    writer.varint(message.number);
+    writer.flag(message.given);
+    write(writer, message.cancellations);
 }
 
-void put(Writer& w, const CapacityReservationNotice& m) {
-    w.s(m.machine);
-    w.s(m.job);
-    w.u(m.task);
-    w.f(m.cpus);
-    w.f(m.gpus);
-    w.f(m.memory_gb);
-    w.u(m.for_us);
-    w.b(m.waiting);
+void write(Writer& writer, const CapacityReservationNotice& message) {
+    writer.text(message.machine);
+    writer.text(message.job);
+    writer.varint(message.task);
+    writer.number(message.cpus);
+    writer.number(message.gpus);
+    writer.number(message.memory_gb);
+    writer.varint(message.for_us);
+    writer.flag(message.waiting);
 }
 
-std::vector<CancellationNotice> get_cancels(Reader& r) {
+std::vector<CancellationNotice> read_cancellations(Reader& reader) {
     std::vector<CancellationNotice> cancellations;
-    for (auto n = r.optional_count(); n > 0 && r.ok(); --n) {
+    for (auto left = reader.optional_count(); left > 0 && reader.ok(); --left) {
         CancellationNotice notice;
-        notice.job = r.s();
-        notice.revision = r.u();
-        notice.cancelled_us = r.i();
+        notice.job = reader.text();
+        notice.revision = reader.varint();
+        notice.cancelled_us = reader.signed_varint();
         cancellations.push_back(std::move(notice));
     }
     return cancellations;
 }
 
-PeerHeartbeat get_heartbeat(Reader& r) {
-    PeerHeartbeat m;
-    m.label = r.s();
-    m.store_lease = r.u();
-    m.wall_us = r.i();
-    m.epoch = r.u();
-    m.state_ok = r.b();
-    m.healthy = r.b();
-    m.holds_leadership = r.b();
-    for (auto n = r.count(); n > 0 && r.ok(); --n) {
-        auto machine = r.s();
-        const auto age = r.i();
-        m.answered.emplace_back(std::move(machine), m.wall_us - age);
+PeerHeartbeat read_peer_heartbeat(Reader& reader) {
+    PeerHeartbeat message;
+    message.label = reader.text();
+    message.store_lease = reader.varint();
+    message.wall_us = reader.signed_varint();
+    message.epoch = reader.varint();
+    message.state_ok = reader.flag();
+    message.healthy = reader.flag();
+    message.holds_leadership = reader.flag();
+    for (auto left = reader.count(); left > 0 && reader.ok(); --left) {
+        auto machine = reader.text();
+        const auto age = reader.signed_varint();
+        message.answered.emplace_back(std::move(machine), message.wall_us - age);
     }
-    for (auto n = r.count(); n > 0 && r.ok(); --n) m.released.push_back(r.s());
-    for (auto n = r.count(); n > 0 && r.ok(); --n) m.candidates.push_back(r.s());
-    for (auto n = r.count(); n > 0 && r.ok(); --n) m.hears.push_back(r.s());
-    m.demand = r.u();
-    m.workers = r.u();
-    for (auto n = r.count(); n > 0 && r.ok(); --n) m.unanswered.push_back(r.s());
-    m.revision = r.optional_u();
-    m.cancellations = get_cancels(r);
-    m.capabilities = r.optional_u();
-    return m;
+    message.released = reader.texts();
+    message.candidates = reader.texts();
+    message.hears = reader.texts();
+    message.demand = reader.varint();
+    message.workers = reader.varint();
+    message.unanswered = reader.texts();
+    message.revision = reader.optional_varint();
+    message.cancellations = read_cancellations(reader);
+    message.capabilities = reader.optional_varint();
+    return message;
 }
 
-std::optional<WorkerStatusUpdate> get_worker_status(Reader& r) {
-    WorkerStatusUpdate m;
-    auto& w = m.heartbeat;
-    w.machine = r.s();
-    w.address = r.s();
-    w.type = r.s();
-    w.zone = r.s();
-    w.spot = r.b();
-    w.incarnation = r.u();
-    w.heartbeat_sequence = r.u();
-    w.fencing_token = r.u();
-    if (r.b()) w.notice_s = r.f();
-    m.heard_us = r.i();
-    for (auto n = r.count(); n > 0 && r.ok(); --n) {
-        core::TaskStatus t;
-        t.job = r.s();
-        t.task = static_cast<std::uint32_t>(r.u());
-        t.attempt = r.u();
-        const auto state = r.u();
-        const auto cause = r.u();
-        t.saved = r.b();
-        if (state > static_cast<std::uint64_t>(core::TaskState::exited) ||
-            cause > static_cast<std::uint64_t>(core::ExitCause::unknown)) {
-            return std::nullopt;
-        }
-        t.state = static_cast<core::TaskState>(state);
-        t.cause = static_cast<core::ExitCause>(cause);
-        w.tasks.push_back(std::move(t));
+std::optional<WorkerStatusUpdate> read_worker_status(Reader& reader) {
+    WorkerStatusUpdate message;
+    auto& heartbeat = message.heartbeat;
+    heartbeat.machine = reader.text();
+    heartbeat.address = reader.text();
+    heartbeat.type = reader.text();
+    heartbeat.zone = reader.text();
+    heartbeat.spot = reader.flag();
+    heartbeat.incarnation = reader.varint();
+    heartbeat.heartbeat_sequence = reader.varint();
+    heartbeat.fencing_token = reader.varint();
+    if (reader.flag()) heartbeat.notice_s = reader.number();
+    message.heard_us = reader.signed_varint();
+    for (auto left = reader.count(); left > 0 && reader.ok(); --left) {
+        core::TaskStatus task;
+        task.job = reader.text();
+        task.task = static_cast<std::uint32_t>(reader.varint());
+        task.attempt = reader.varint();
+        const auto state = reader.varint();
+        const auto cause = reader.varint();
+        task.saved = reader.flag();
+        if (state > kLastTaskState || cause > kLastExitCause) return std::nullopt;
+        task.state = static_cast<core::TaskState>(state);
+        task.cause = static_cast<core::ExitCause>(cause);
+        heartbeat.tasks.push_back(std::move(task));
     }
-    for (auto n = r.count(); n > 0 && r.ok(); --n) {
-        auto image = r.s();
-        const double gb = r.f();
-        m.images.emplace_back(std::move(image), gb);
+    for (auto left = reader.count(); left > 0 && reader.ok(); --left) {
+        auto image = reader.text();
+        const double gb = reader.number();
+        message.images.emplace_back(std::move(image), gb);
     }
-    m.confirmed = r.b();
-    return m;
+    message.confirmed = reader.flag();
+    return message;
 }
 
-std::optional<PeerMessage> parse(std::string_view payload) {
-    if (payload.empty()) return std::nullopt;
-    Reader r{payload.substr(1)};
-    std::optional<PeerMessage> out;
-    switch (static_cast<Kind>(payload[0])) {
-        case Kind::handshake: {
-            PeerHandshake m;
-            m.version = r.u();
-            m.label = r.s();
-            out = m;
-            break;
-        }
+PeerHandshake read_handshake(Reader& reader) {
+    PeerHandshake message;
+    message.version = reader.varint();
+    message.label = reader.text();
+    return message;
+}
+
+LeaseExtensionRequest read_lease_extension_request(Reader& reader) {
+    LeaseExtensionRequest message;
+    message.number = reader.varint();
+    message.life_us = reader.varint();
+    message.revision = reader.optional_varint();
+    return message;
+}
+
+LeaseExtensionVote read_lease_extension_vote(Reader& reader) {
+    LeaseExtensionVote message;
+    message.number = reader.varint();
+    message.given = reader.flag();
+    message.cancellations = read_cancellations(reader);
+    return message;
+}
+
+CapacityReservationNotice read_capacity_reservation(Reader& reader) {
+    CapacityReservationNotice message;
+    message.machine = reader.text();
+    message.job = reader.text();
+    message.task = static_cast<std::uint32_t>(reader.varint());
+    message.cpus = reader.number();
+    message.gpus = reader.number();
+    message.memory_gb = reader.number();
+    message.for_us = reader.varint();
+    message.waiting = reader.flag();
+    return message;
+}
+
+WorkerKeepAlive read_worker_keep_alive(Reader& reader) {
+    WorkerKeepAlive message;
+    message.machine = reader.text();
+    message.incarnation = reader.varint();
+    message.heartbeat_sequence = reader.varint();
+    message.fencing_token = reader.varint();
+    message.content_sequence = reader.varint();
+    message.heard_us = reader.signed_varint();
+    return message;
+}
+
+// Nothing for an unknown kind, or a value that the kind does not allow.
+std::optional<PeerMessage> read_message(Kind kind, Reader& reader) {
+    switch (kind) {
+        case Kind::handshake:
+            return read_handshake(reader);
         case Kind::peer_heartbeat:
-            out = get_heartbeat(r);
-            break;
+            return read_peer_heartbeat(reader);
         case Kind::worker_status:
-            if (auto m = get_worker_status(r)) out = std::move(*m);
-            break;
-        case Kind::lease_extension_request: {
-            LeaseExtensionRequest m;
-            m.number = r.u();
-            m.life_us = r.u();
-            m.revision = r.optional_u();
-            out = m;
-            break;
-        }
-        case Kind::lease_extension_vote: {
-            LeaseExtensionVote m;
-            m.number = r.u();
-            m.given = r.b();
-            m.cancellations = get_cancels(r);
-            out = m;
-            break;
-        }
-        case Kind::capacity_reservation: {
-            CapacityReservationNotice m;
-            m.machine = r.s();
-            m.job = r.s();
-            m.task = static_cast<std::uint32_t>(r.u());
-            m.cpus = r.f();
-            m.gpus = r.f();
-            m.memory_gb = r.f();
-            m.for_us = r.u();
-            m.waiting = r.b();
-            out = m;
-            break;
-        }
-        case Kind::worker_keep_alive: {
-            WorkerKeepAlive m;
-            m.machine = r.s();
-            m.incarnation = r.u();
-            m.heartbeat_sequence = r.u();
-            m.fencing_token = r.u();
-            m.content_sequence = r.u();
-            m.heard_us = r.i();
-            out = m;
-            break;
-        }
+            return read_worker_status(reader);
+        case Kind::lease_extension_request:
+            return read_lease_extension_request(reader);
+        case Kind::lease_extension_vote:
+            return read_lease_extension_vote(reader);
+        case Kind::capacity_reservation:
+            return read_capacity_reservation(reader);
+        case Kind::worker_keep_alive:
+            return read_worker_keep_alive(reader);
         case Kind::cancellation:
-            out = CancellationBroadcast{get_cancels(r)};
-            break;
+            return CancellationBroadcast{read_cancellations(reader)};
     }
-    if (!r.ok()) return std::nullopt;
-    return out;
+    return std::nullopt;
+}
+
+// The payload is not empty: its first byte is the kind.
+std::optional<PeerMessage> parse_payload(std::string_view payload) {
+    Reader reader{payload.substr(1)};
+    auto message = read_message(static_cast<Kind>(payload.front()), reader);
+    if (!reader.ok()) return std::nullopt;
+    return message;
 }
 
 }  // namespace
 
-std::string encode_frame(const PeerMessage& m) {
-    static constexpr std::array kinds = {Kind::handshake,
-                                         Kind::peer_heartbeat,
-                                         Kind::worker_status,
-                                         Kind::lease_extension_request,
-                                         Kind::lease_extension_vote,
-                                         Kind::capacity_reservation,
-                                         Kind::worker_keep_alive,
-                                         Kind::cancellation};
-    Writer w{kinds[m.index()]};
-    std::visit([&](const auto& v) { put(w, v); }, m);
-    return w.frame();
+std::string encode_frame(const PeerMessage& message) {
+    // In the order of PeerMessage.
+    static constexpr std::array kKinds = {Kind::handshake,
+                                          Kind::peer_heartbeat,
+                                          Kind::worker_status,
+                                          Kind::lease_extension_request,
+                                          Kind::lease_extension_vote,
+                                          Kind::capacity_reservation,
+                                          Kind::worker_keep_alive,
+                                          Kind::cancellation};
+    static_assert(kKinds.size() == std::variant_size_v<PeerMessage>);
+    Writer writer{kKinds[message.index()]};
+    std::visit([&](const auto& content) { write(writer, content); }, message);
+    return writer.frame();
 }
 
 std::optional<PeerMessage> FrameReader::next() {
     if (broken_) return std::nullopt;
-    const std::string_view left = std::string_view(buffer_).substr(at_);
+    const std::string_view rest = std::string_view(buffer_).substr(taken_);
     std::uint64_t length = 0;
-    std::size_t used = 0;
-    while (true) {
-        if (used >= left.size()) return std::nullopt;
-        const auto c = static_cast<std::uint8_t>(left[used]);
-        length |= static_cast<std::uint64_t>(c & 0x7fU) << (7 * used);
-        ++used;
-        if ((c & 0x80U) == 0) break;
-        if (used == 4) {
+    std::size_t length_bytes = 0;
+    bool more = true;
+    while (more) {
+        if (length_bytes == kMostLengthBytes) {
             broken_ = true;
             return std::nullopt;
         }
+        if (length_bytes >= rest.size()) return std::nullopt;
+        const auto byte = static_cast<std::uint8_t>(rest[length_bytes]);
+        length |= static_cast<std::uint64_t>(byte & kPayloadBits) << (kBitsOfByte * length_bytes);
+        ++length_bytes;
+        more = (byte & kContinues) != 0;
     }
     if (length == 0 || length > kMaxFrameBytes) {
         broken_ = true;
         return std::nullopt;
     }
-    if (left.size() - used < length) return std::nullopt;
-    auto out = parse(left.substr(used, length));
-    if (!out) broken_ = true;
-    at_ += used + length;
-    return out;
+    if (rest.size() - length_bytes < length) return std::nullopt;
+    auto message = parse_payload(rest.substr(length_bytes, length));
+    if (!message) broken_ = true;
+    taken_ += length_bytes + length;
+    return message;
 }
 
 }  // namespace hatchwind::wire
