--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -8,8 +8,11 @@
 
 using io::HttpResponse;
 using io::Micros;
+using io::plain_response;
+using io::retry_later;
 using io::steady_now;
 using io::Task;
+namespace http_status = io::http_status;
 
 namespace {
 
@@ -28,7 +31,7 @@
     const auto s = e.job.cancelled ? wire::JobStatus::cancelled
                    : running > 0   ? wire::JobStatus::running
                                    : wire::JobStatus::queued;
-    return response_with(status, wire::job_answer(e.job.id, s, e.done, running));
+    return cbor_response(status, wire::job_answer(e.job.id, s, e.done, running));
 }
 
 Task<Lookup> UserApi::describe_unfinished(std::string id, HttpResponse& answer, Micros deadline) {
@@ -38,13 +41,13 @@
         const auto verdict = co_await std::move(task);
         if (verdict == DependencyAdmission::Verdict::undecided) co_return Lookup::failed;
         if (verdict == DependencyAdmission::Verdict::cancelled) {
-            answer = response_with(200, wire::job_answer(id, wire::JobStatus::cancelled, 0, 0));
+            answer = cbor_response(http_status::kOk, wire::job_answer(id, wire::JobStatus::cancelled, 0, 0));
             co_return Lookup::found;
         }
         entry = context_.replicated.job_table().find(id);
     }
     if (entry == nullptr) co_return Lookup::absent;
-    answer = describe(*entry, 200);
+    answer = describe(*entry, http_status::kOk);
     co_return Lookup::found;
 }
 
@@ -78,7 +81,8 @@
         found = co_await std::move(second);
     }
     if (found == Lookup::found)
-        answer = response_with(200, wire::job_answer(id, final_state.status, final_state.done, 0));
+        answer =
+            cbor_response(http_status::kOk, wire::job_answer(id, final_state.status, final_state.done, 0));
     co_return found;
 }
 
@@ -95,23 +99,24 @@
 }
 
 Task<HttpResponse> UserApi::poll(std::string id) {
-    if (!wire::is_job_id(id)) co_return plain_response(404);
+    if (!wire::is_job_id(id)) co_return plain_response(http_status::kNotFound);
     if (const FinalState* state = context_.final_states.known(id)) {
-        co_return response_with(200, wire::job_answer(id, state->status, state->done, 0));
+        co_return cbor_response(http_status::kOk, wire::job_answer(id, state->status, state->done, 0));
     }
-    if (polling_ >= kPolling) co_return retry_later(429);
+    if (polling_ >= kPolling) co_return retry_later(http_status::kTooManyRequests);
     const RequestCount counted{polling_};
     if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
     HttpResponse answer;
     auto lookup = current_state(std::move(id), answer, steady_now() + Micros{1'700'000});
     const Lookup found = co_await std::move(lookup);
     if (found == Lookup::failed) co_return retry_later();
-    co_return found == Lookup::absent ? plain_response(404) : answer;
+    co_return found == Lookup::absent ? plain_response(http_status::kNotFound) : answer;
 }
 
 HttpResponse UserApi::health() const {
     const Micros now = steady_now();
-    if (!context_.replicated.is_loaded() || !context_.catalog) return plain_response(503);
+    if (!context_.replicated.is_loaded() || !context_.catalog)
+        return plain_response(http_status::kServiceUnavailable);
     if (!context_.store.reachable(now)) {
         // With every node in the same trouble, leaving the load balancer's list only makes the return slower.
         // A node that hears none of the others either is more likely the only one in trouble: its users were
@@ -120,11 +125,11 @@
         for (const auto& [label, peer] : context_.peers.all()) {
             if (!context_.peers.is_fresh(label, now)) continue;
             alone = false;
-            if (peer.heartbeat.state_ok) return plain_response(503);
+            if (peer.heartbeat.state_ok) return plain_response(http_status::kServiceUnavailable);
         }
-        if (alone) return plain_response(503);
+        if (alone) return plain_response(http_status::kServiceUnavailable);
     }
-    return plain_response(200);
+    return plain_response(http_status::kOk);
 }
 
 }  // namespace hatchwind::controller
--- a/src/api/user_api_cancel.cpp
+++ b/src/api/user_api_cancel.cpp
@@ -11,8 +11,11 @@
 
 using io::HttpResponse;
 using io::Micros;
+using io::plain_response;
+using io::retry_later;
 using io::steady_now;
 using io::Task;
+namespace http_status = io::http_status;
 
 namespace {
 constexpr Micros kCancelTime{2'500'000};
@@ -39,14 +42,14 @@
         context_.links.broadcast(
             wire::CancellationBroadcast{{{id, entry->mod_revision, entry->job.cancelled_at.count()}}});
     }
-    return response_with(200, wire::job_answer(id, wire::JobStatus::cancelled));
+    return cbor_response(http_status::kOk, wire::job_answer(id, wire::JobStatus::cancelled));
 }
 
 Task<HttpResponse> UserApi::cancel(std::string id) {
-    if (!wire::is_job_id(id)) co_return plain_response(404);
+    if (!wire::is_job_id(id)) co_return plain_response(http_status::kNotFound);
     if (const FinalState* ended = context_.final_states.known(id))
-        co_return response_with(200, wire::job_answer(id, ended->status));
-    if (submitting_ >= kMostSubmitting) co_return retry_later(429);
+        co_return cbor_response(http_status::kOk, wire::job_answer(id, ended->status));
+    if (submitting_ >= kMostSubmitting) co_return retry_later(http_status::kTooManyRequests);
     const RequestCount counted{submitting_};
     if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
     const Micros deadline = steady_now() + kCancelTime;
@@ -76,8 +79,8 @@
     auto reading = context_.final_states.find(id, final_state, revision, deadline);
     const Lookup found = co_await std::move(reading);
     if (found == Lookup::failed) co_return retry_later();
-    if (found == Lookup::absent) co_return plain_response(404);
-    co_return response_with(200, wire::job_answer(id, final_state.status));
+    if (found == Lookup::absent) co_return plain_response(http_status::kNotFound);
+    co_return cbor_response(http_status::kOk, wire::job_answer(id, final_state.status));
 }
 
 // The entry is not touched after the first suspension: it may be gone by then.
--- a/src/api/user_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -14,8 +14,11 @@
 
 using io::HttpResponse;
 using io::Micros;
+using io::plain_response;
+using io::retry_later;
 using io::steady_now;
 using io::Task;
+namespace http_status = io::http_status;
 
 namespace {
 constexpr std::size_t kJsonLimit = std::size_t{64} * 1024;
@@ -63,14 +66,14 @@
 }
 
 Task<HttpResponse> UserApi::submit(io::HttpRequest request) {
-    if (request.body_too_large) co_return plain_response(400);
-    if (submitting_ >= kMostSubmitting) co_return retry_later(429);
+    if (request.body_too_large) co_return plain_response(http_status::kBadRequest);
+    if (submitting_ >= kMostSubmitting) co_return retry_later(http_status::kTooManyRequests);
     const RequestCount counted{submitting_};
     const auto body = submission_body(request);
-    if (!body) co_return plain_response(400);
+    if (!body) co_return plain_response(http_status::kBadRequest);
     auto parsed = wire::parse_submission(*body);
     if (!parsed) {
-        HttpResponse refusal = response_with(400, wire::error_answer(parsed.error()));
+        HttpResponse refusal = cbor_response(http_status::kBadRequest, wire::error_answer(parsed.error()));
         std::string named = wire::submitted_id(*body);
         if (!wire::is_job_id(named)) co_return refusal;
         auto refusing = refuse_unless_accepted(std::move(named), std::move(refusal));
@@ -89,7 +92,8 @@
                        context_.replicated.job_table().find(job.id) != nullptr;
     const std::optional<std::string> why = known || !context_.catalog ? std::nullopt : impossible(job);
     if (known || !context_.catalog || why) {
-        HttpResponse refusal = why ? response_with(422, wire::error_answer(*why)) : retry_later();
+        HttpResponse refusal =
+            why ? cbor_response(http_status::kUnprocessableContent, wire::error_answer(*why)) : retry_later();
         auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
         HttpResponse response = co_await std::move(refusing);
         co_return response;
@@ -104,8 +108,8 @@
         const auto dependencies = co_await std::move(settling);
         if (dependencies == DependencyAdmission::DependencyStatus::undecided) co_return retry_later();
         if (dependencies == DependencyAdmission::DependencyStatus::never_accepted) {
-            HttpResponse refusal =
-                response_with(422, wire::error_answer("awaits a job that was never accepted"));
+            HttpResponse refusal = cbor_response(http_status::kUnprocessableContent,
+                                                 wire::error_answer("awaits a job that was never accepted"));
             auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
             HttpResponse response = co_await std::move(refusing);
             co_return response;
@@ -130,13 +134,13 @@
     const CommitResult result = co_await std::move(committing);
     if (result.outcome == CommitOutcome::committed && cancelled_by_dependency) {
         context_.final_states.note(job.id, {wire::JobStatus::cancelled, 0});
-        co_return response_with(201, wire::job_answer(job.id, wire::JobStatus::cancelled));
+        co_return cbor_response(http_status::kCreated, wire::job_answer(job.id, wire::JobStatus::cancelled));
     }
     if (result.outcome == CommitOutcome::committed) {
         context_.replica.apply_own_commit({key, record, result.revision});
         context_.signals.scheduling_needed.notify_all();
         context_.signals.scaling_needed.notify_all();
-        co_return response_with(201, wire::job_answer(job.id, wire::JobStatus::queued));
+        co_return cbor_response(http_status::kCreated, wire::job_answer(job.id, wire::JobStatus::queued));
     }
     // Whether an unanswered commit was carried out, the user's next try will find out.
     if (result.outcome != CommitOutcome::conflict) co_return retry_later();
@@ -159,7 +163,7 @@
     auto reading = context_.final_states.find(id, final_state, read_at, deadline);
     const Lookup found = co_await std::move(reading);
     if (found != Lookup::found) co_return retry_later();
-    co_return response_with(200, wire::job_answer(id, final_state.status, final_state.done, 0));
+    co_return cbor_response(http_status::kOk, wire::job_answer(id, final_state.status, final_state.done, 0));
 }
 
 }  // namespace hatchwind::controller
--- a/src/api/user_responses.hpp
+++ b/src/api/user_responses.hpp
@@ -1,31 +1,19 @@
-// Responses to users, and the count of requests under way.
+/// Responses to users, and the count of requests under way.
 #pragma once
 
-#include "io/http.hpp"
+#include <cstddef>
+
+#include "io/http_responses.hpp"
 #include "wire/cbor.hpp"
 
 namespace hatchwind::controller {
 
-inline io::HttpResponse plain_response(int status) {
-    io::HttpResponse response;
-    response.status = status;
-    return response;
-}
-
-// The user comes back: nothing is held back for want of an answer.
-inline io::HttpResponse retry_later(int status = 503) {
-    io::HttpResponse response = plain_response(status);
-    response.retry_after_s = 1;
-    return response;
-}
-
-inline io::HttpResponse response_with(int status, const wire::Json& body) {
-    io::HttpResponse response = plain_response(status);
-    response.body = wire::encode(body);
-    return response;
+/// A response with a CBOR body.
+inline io::HttpResponse cbor_response(int status, const wire::Json& body) {
+    return io::response_with_body(status, wire::encode(body));
 }
 
-// A request under way, counted for as long as it lives.
+/// A request under way, counted for as long as it lives.
 class RequestCount {
   public:
     explicit RequestCount(std::size_t& count) : count_(count) { ++count_; }
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -76,7 +76,7 @@
     const GetResult current = co_await std::move(reading);
     if (!current.ok) co_return std::nullopt;
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(key, current.mod_revision);
+    transaction.conditions.push_back({key, current.mod_revision});
     transaction.writes.push_back({key, wire::member_record(store_lease, core::kCapabilities), store_lease});
     auto writing = context_.store.commit(std::move(transaction), steady_now() + kJoinTimeout);
     const CommitResult result = co_await std::move(writing);
@@ -143,9 +143,9 @@
 Task<void> Membership::write_epoch(core::EpochPlan plan) {
     const core::Revision current = context_.replicated.epoch().mod_revision;
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(keys::kEpoch, current);
+    transaction.conditions.push_back({keys::kEpoch, current});
     for (const auto& [label, mod_revision] : plan.member_conditions)
-        transaction.conditions.emplace_back(keys::member(label), mod_revision);
+        transaction.conditions.push_back({keys::member(label), mod_revision});
     transaction.writes.push_back({keys::kEpoch, wire::epoch_record(plan.next), 0});
     writing_ = true;
     auto writing = context_.store.commit(std::move(transaction), steady_now() + kEpochWriteTimeout);
--- a/src/io/http.cpp
+++ b/src/io/http.cpp
@@ -107,25 +107,25 @@
 
 const char* reason(int status) {
     switch (status) {
-        case 200:
+        case http_status::kOk:
             return "OK";
-        case 201:
+        case http_status::kCreated:
             return "Created";
-        case 400:
+        case http_status::kBadRequest:
             return "Bad Request";
-        case 404:
+        case http_status::kNotFound:
             return "Not Found";
-        case 405:
+        case http_status::kMethodNotAllowed:
             return "Method Not Allowed";
-        case 409:
+        case http_status::kConflict:
             return "Conflict";
-        case 421:
+        case http_status::kMisdirectedRequest:
             return "Misdirected Request";
-        case 422:
+        case http_status::kUnprocessableContent:
             return "Unprocessable Entity";
-        case 429:
+        case http_status::kTooManyRequests:
             return "Too Many Requests";
-        case 503:
+        case http_status::kServiceUnavailable:
             return "Service Unavailable";
         default:
             return "Status";
@@ -218,7 +218,7 @@
         HttpResponse response;
         bool keep = !broken && m->keep_alive && open_ <= limits_.kept;
         if (broken) {
-            response.status = 400;
+            response.status = http_status::kBadRequest;
         } else {
             HttpRequest request;
             request.method = http_method_str(static_cast<http_method>(m->parser.method));
--- a/src/io/http.hpp
+++ b/src/io/http.hpp
@@ -11,6 +11,7 @@
 #include <string_view>
 #include <vector>
 
+#include "io/http_status.hpp"
 #include "io/socket.hpp"
 
 namespace hatchwind::io {
@@ -23,7 +24,7 @@
 };
 
 struct HttpResponse {
-    int status = 200;
+    int status = http_status::kOk;
     std::string body;
     int retry_after_s = 0;  // 0: no such header
 };
--- a/src/scaling/cordon_record.cpp
+++ b/src/scaling/cordon_record.cpp
@@ -37,8 +37,8 @@
     // One record for all marks: with one for each machine, giving back hundreds would use up the store's
     // writes.
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
-    transaction.conditions.emplace_back(keys::kDraining, replicated_.draining_mod_revision());
+    transaction.conditions.push_back({keys::kEpoch, replicated_.epoch().mod_revision});
+    transaction.conditions.push_back({keys::kDraining, replicated_.draining_mod_revision()});
     const wire::Json record = wire::names_record(machines);
     transaction.writes.push_back({keys::kDraining, record, 0});
     auto task = store_.commit(std::move(transaction), io::steady_now() + kCommitTime);
--- a/src/scaling/instance_inventory.cpp
+++ b/src/scaling/instance_inventory.cpp
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "io/http_status.hpp"
 #include "wire/cloud_api.hpp"
 
 namespace hatchwind::controller {
@@ -24,10 +25,10 @@
         if (!after.empty()) target += "&after=" + after;
         auto task = cloud_.call("GET", std::move(target), "");
         const io::HttpReply reply = co_await std::move(task);
-        const auto body = reply.status == 200 ? wire::decode(reply.body) : std::nullopt;
+        const auto body = reply.status == io::http_status::kOk ? wire::decode(reply.body) : std::nullopt;
         const auto page = body ? wire::parse_instances(*body).optional() : std::nullopt;
         if (!page) {
-            if (reply.status == 200) cloud_.record_malformed("list");
+            if (reply.status == io::http_status::kOk) cloud_.record_malformed("list");
             co_return reading;
         }
         for (const auto& instance : page->instances) reading.instances.emplace(instance.machine, instance);
--- a/src/scaling/scale_out.cpp
+++ b/src/scaling/scale_out.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "io/http_status.hpp"
 #include "wire/cloud_api.hpp"
 
 namespace hatchwind::controller {
@@ -86,7 +87,7 @@
 }
 
 void ScaleOut::take_reply(const core::InstancePool& pool, unsigned number, const io::HttpReply& reply) {
-    const auto body = reply.status == 200 ? wire::decode(reply.body) : std::nullopt;
+    const auto body = reply.status == io::http_status::kOk ? wire::decode(reply.body) : std::nullopt;
     const auto machines = body ? wire::parse_rented(*body).optional() : std::nullopt;
     if (machines) {
         for (const auto& machine : *machines) inventory_.add_requested(machine, pool);
@@ -98,7 +99,7 @@
         return;
     }
     back_off(pool);
-    if (reply.status == 200 && !machines) cloud_.record_malformed("rent");
+    if (reply.status == io::http_status::kOk && !machines) cloud_.record_malformed("rent");
 }
 
 // Nothing left there, or an outage: asked again ever more seldom, but so often that all pools together take a
--- a/src/scaling/scaling_controller.cpp
+++ b/src/scaling/scaling_controller.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "io/http_status.hpp"
 #include "wire/cloud_api.hpp"
 
 namespace hatchwind::controller {
@@ -56,7 +57,7 @@
 Task<void> ScalingController::read_catalog() {
     auto task = cloud_.call("GET", "/catalog", "");
     const io::HttpReply reply = co_await std::move(task);
-    if (reply.status != 200) co_return;
+    if (reply.status != io::http_status::kOk) co_return;
     const auto body = wire::decode(reply.body);
     auto catalog = body ? wire::parse_catalog(*body).optional() : std::nullopt;
     if (!catalog || catalog->empty()) {
@@ -158,7 +159,7 @@
     if (machines.empty()) co_return true;
     auto task = cloud_.call("POST", "/rentals/release", wire::encode(wire::release_request(machines)));
     const io::HttpReply reply = co_await std::move(task);
-    if (reply.status != 200) co_return false;
+    if (reply.status != io::http_status::kOk) co_return false;
     for (const auto& machine : machines) {
         spdlog::info("event=machine_released machine={}", machine);
         context_.workers.record_released(machine);
--- a/src/scheduling/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -68,7 +68,7 @@
     WriteUnit unit;
     unit.rank = WriteRank::urgent;
     unit.bytes = kFinishBytes;
-    unit.conditions.emplace_back(keys::job(job), entry.mod_revision);
+    unit.conditions.push_back({keys::job(job), entry.mod_revision});
     unit.effects.push_back({keys::job(job), std::nullopt, 0});
     std::uint32_t done = 0;
     for (const auto& [index, chunk] : entry.chunks) {
@@ -105,7 +105,7 @@
     const auto known = replicated_.job_table().pages().find(page);
     const core::Revision mod_revision =
         known == replicated_.job_table().pages().end() ? 0 : known->second.mod_revision;
-    unit.conditions.emplace_back(keys::page(page), mod_revision);
+    unit.conditions.push_back({keys::page(page), mod_revision});
     PageContent content = known_content(page, ending);
     // Of those that a transaction may have, some are left to the epoch and to the parts of a page that is
     // split.
@@ -138,7 +138,7 @@
     for (std::size_t i = 1; i < parts.size(); ++i) {
         while (taken.contains(fresh) || replicated_.job_table().pages().contains(fresh)) ++fresh.second;
         taken.insert(fresh);
-        unit.conditions.emplace_back(keys::page(fresh), 0);
+        unit.conditions.push_back({keys::page(fresh), 0});
         unit.effects.push_back({keys::page(fresh), wire::page_record(parts[i]), 0});
     }
 }
@@ -150,7 +150,7 @@
     unit.rank = std::min(unit.rank, rank_of(key, record, production, now));
     if (!record.started.empty()) {
         // A cancel that comes first must keep the start from being recorded; and so must the job's end.
-        const std::pair<std::string, core::Revision> condition{keys::job(key.first), entry.mod_revision};
+        const wire::Condition condition{keys::job(key.first), entry.mod_revision};
         if (unit.conditions.back() != condition) unit.conditions.push_back(condition);
     }
     unit.chunks.push_back(key);
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -63,7 +63,7 @@
 
 wire::Transaction DependencyReconciler::next_group(const std::vector<Step>& steps, std::size_t& next) const {
     wire::Transaction t;
-    t.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
+    t.conditions.push_back({keys::kEpoch, replicated_.epoch().mod_revision});
     const std::size_t first = next;
     std::size_t bytes = 0;
     for (; next < steps.size(); ++next) {
@@ -72,7 +72,7 @@
         bytes += step.bytes;
         const bool full = t.writes.size() + writes > settings_.txn_ops || bytes > kTransactionBytes;
         if (full && next != first) break;
-        t.conditions.emplace_back(keys::job(step.job), step.mod_revision);
+        t.conditions.push_back({keys::job(step.job), step.mod_revision});
         for (const auto& effect : step.effects) t.writes.push_back({effect.key, effect.value, 0});
         if (!step.final_state) continue;
         wire::Json record = wire::final_record(step.final_state->status, step.final_state->done);
@@ -181,7 +181,7 @@
     if (!read) co_return;
     wire::Transaction t;
     std::vector<wire::StoreItem> effects;
-    t.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
+    t.conditions.push_back({keys::kEpoch, replicated_.epoch().mod_revision});
     for (const auto& job : jobs_with_old_lists()) {
         if (replicated_.job_table().find(job) == nullptr && final_states_.known(job) == nullptr) continue;
         for (const auto& [part, ids] : replicated_.job_table().dependency_parts().at(job)) {
--- a/src/scheduling/group_commit.cpp
+++ b/src/scheduling/group_commit.cpp
@@ -49,7 +49,7 @@
 
 wire::Transaction GroupCommit::transaction(std::span<const WriteUnit> units) const {
     wire::Transaction transaction;
-    transaction.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
+    transaction.conditions.push_back({keys::kEpoch, replicated_.epoch().mod_revision});
     for (const WriteUnit& unit : units) {
         transaction.conditions.insert(transaction.conditions.end(), unit.conditions.begin(),
                                       unit.conditions.end());
@@ -193,11 +193,11 @@
 Task<void> GroupCommit::erase_unused_pages() {
     wire::Transaction transaction;
     std::vector<wire::StoreItem> effects;
-    transaction.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
+    transaction.conditions.push_back({keys::kEpoch, replicated_.epoch().mod_revision});
     for (const auto& [key, page] : replicated_.job_table().pages()) {
         if (transaction.writes.size() >= std::min(kErasedTogether, settings_.txn_ops)) break;
         if (!leadership_.owns_shard(key.first) || !unused(page)) continue;
-        transaction.conditions.emplace_back(keys::page(key), page.mod_revision);
+        transaction.conditions.push_back({keys::page(key), page.mod_revision});
         transaction.writes.push_back({keys::page(key), std::nullopt, 0});
         effects.push_back({keys::page(key), std::nullopt, 0});
     }
--- a/src/scheduling/group_commit.hpp
+++ b/src/scheduling/group_commit.hpp
@@ -52,7 +52,7 @@
     struct Group {
         wire::Transaction transaction;
         std::vector<WriteUnit> units;
-        core::Revision epoch() const { return transaction.conditions.front().second; }
+        core::Revision epoch() const { return transaction.conditions.front().mod_revision; }
         // Its writes that do not only take what is unused.
         double pressing_writes() const;
     };
--- a/src/scheduling/write_unit.hpp
+++ b/src/scheduling/write_unit.hpp
@@ -26,7 +26,7 @@
 struct WriteUnit {
     WriteRank rank = WriteRank::production;
     std::vector<core::ChunkKey> chunks;
-    std::vector<std::pair<std::string, core::Revision>> conditions;
+    std::vector<wire::Condition> conditions;
     std::vector<wire::StoreItem> effects;                  // written, and then part of the replica
     std::vector<wire::StoreItem> extra;                    // written only
     std::vector<std::pair<std::string, FinalState>> ends;  // of jobs
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -175,20 +175,19 @@
     co_return true;
 }
 
-bool Replica::is_refuted(const std::string& key,
-                         const std::vector<std::pair<std::string, core::Revision>>& conditions) const {
+bool Replica::is_refuted(const std::string& key, const std::vector<wire::Condition>& conditions) const {
     const auto condition = std::find_if(conditions.begin(), conditions.end(),
-                                        [&](const auto& candidate) { return candidate.first == key; });
+                                        [&](const auto& candidate) { return candidate.key == key; });
     if (condition == conditions.end()) return false;
     const bool is_page = key.starts_with(keys::kAttemptPagePrefix);
     // A job may come and go between the conflict and now; any other mod revision is never used twice.
-    if (condition->second == 0 && !is_page) return false;
+    if (condition->mod_revision == 0 && !is_page) return false;
     if (!is_page && !key.starts_with(keys::kJobPrefix)) return false;
-    return replicated_.mod_revision_of(key) == condition->second;
+    return replicated_.mod_revision_of(key) == condition->mod_revision;
 }
 
-Task<bool> Replica::wait_for_conflict(std::vector<std::pair<std::string, core::Revision>> conditions,
-                                      CommitResult conflict, Micros deadline) {
+Task<bool> Replica::wait_for_conflict(std::vector<wire::Condition> conditions, CommitResult conflict,
+                                      Micros deadline) {
     auto task = wait_for_revision(conflict.revision, deadline);
     const bool reached = co_await std::move(task);
     if (!reached) co_return false;
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -33,8 +33,8 @@
     io::Task<bool> wait_for_revision(core::Revision revision, io::Micros deadline);
     /// After a conflict: waits until the replica holds what the conflict was found in. If the replica then
     /// still says what the store has refuted, it has diverged, and the store is read anew.
-    io::Task<bool> wait_for_conflict(std::vector<std::pair<std::string, core::Revision>> conditions,
-                                     CommitResult conflict, io::Micros deadline);
+    io::Task<bool> wait_for_conflict(std::vector<wire::Condition> conditions, CommitResult conflict,
+                                     io::Micros deadline);
     /// Takes what this controller has committed itself, before the watch brings it.
     void apply_own_commit(const wire::StoreItem& item);
     /// The same for all writes of one transaction.
@@ -62,8 +62,7 @@
     /// One shared read of the store's revision; its result is in read_ok_ and read_revision_.
     io::Task<void> read_revision(io::Micros deadline);
     /// The record that a conflict was about still stands in the replica as the condition had it.
-    bool is_refuted(const std::string& key,
-                    const std::vector<std::pair<std::string, core::Revision>>& conditions) const;
+    bool is_refuted(const std::string& key, const std::vector<wire::Condition>& conditions) const;
 
     io::Loop& loop_;
     const Settings& settings_;
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -6,11 +6,14 @@
 #include <cmath>
 #include <utility>
 
+#include "io/http_status.hpp"
+
 namespace hatchwind::controller {
 
 using io::Micros;
 using io::steady_now;
 using io::Task;
+namespace http_status = io::http_status;
 
 namespace {
 constexpr Micros kCallTimeout{2'000'000};
@@ -35,14 +38,6 @@
 constexpr double kUserBurstSeconds = 3;
 constexpr double kLeastUserBurst = 3;
 constexpr double kUserDebt = 0.7;  // part of a burst that a user's request may owe
-
-constexpr int kStatusOk = 200;
-constexpr int kStatusBadRequest = 400;
-constexpr int kStatusNotFound = 404;
-constexpr int kStatusConflict = 409;
-constexpr int kStatusGone = 410;
-constexpr int kStatusTooManyRequests = 429;
-constexpr int kStatusUnavailable = 503;
 }  // namespace
 
 StoreClient::StoreClient(io::Loop& loop, const Settings& settings)
@@ -109,7 +104,7 @@
 }
 
 void StoreClient::record_reachability(const io::HttpReply& reply) {
-    const bool failed = reply.status == 0 || reply.status == kStatusUnavailable;
+    const bool failed = reply.status == 0 || reply.status == http_status::kServiceUnavailable;
     if (!failed) {
         failing_since_ = Micros{0};
     } else if (failing_since_.count() == 0) {
@@ -121,7 +116,7 @@
     const auto wait = reserve_budget(call);
     if (!wait) {
         io::HttpReply refused;
-        refused.status = kStatusTooManyRequests;  // by this controller's own budget
+        refused.status = http_status::kTooManyRequests;  // by this controller's own budget
         refused.never_sent = true;
         co_return refused;
     }
@@ -147,10 +142,10 @@
     Call call{"GET", "/store/" + key, "", deadline};
     auto sending = send(std::move(call));
     const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status != kStatusOk && reply.status != kStatusNotFound) co_return result;
+    if (reply.status != http_status::kOk && reply.status != http_status::kNotFound) co_return result;
     const auto body = decode(reply, "get");
     if (!body) co_return result;
-    if (reply.status == kStatusNotFound) {
+    if (reply.status == http_status::kNotFound) {
         const auto revision = wire::parse_revision(*body);
         if (!revision) co_return result;
         result.ok = true;
@@ -172,7 +167,7 @@
     Call call{"GET", std::move(target), "", steady_now() + kCallTimeout};
     auto sending = send(std::move(call));
     const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status != kStatusOk) co_return std::nullopt;
+    if (reply.status != http_status::kOk) co_return std::nullopt;
     const auto body = decode(reply, "list");
     if (!body) co_return std::nullopt;
     co_return wire::parse_page(*body).optional();
@@ -187,21 +182,22 @@
     call.for_user = priority.for_user;
     auto sending = send(std::move(call));
     const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status == kStatusTooManyRequests || reply.status == kStatusUnavailable || reply.never_sent) {
+    if (reply.status == http_status::kTooManyRequests || reply.status == http_status::kServiceUnavailable ||
+        reply.never_sent) {
         result.outcome = CommitOutcome::unavailable;
         co_return result;
     }
-    if (reply.status == kStatusBadRequest) {
+    if (reply.status == http_status::kBadRequest) {
         spdlog::warn("event=commit_rejected body={}", reply.body.substr(0, kLoggedBodyBytes));
         result.outcome = CommitOutcome::refused;
         co_return result;
     }
-    if (reply.status != kStatusOk && reply.status != kStatusConflict) co_return result;
+    if (reply.status != http_status::kOk && reply.status != http_status::kConflict) co_return result;
     const auto body = decode(reply, "commit");
     if (!body) co_return result;
     auto response = wire::parse_commit_response(*body);
     if (!response) co_return result;
-    result.outcome = reply.status == kStatusOk ? CommitOutcome::committed : CommitOutcome::conflict;
+    result.outcome = reply.status == http_status::kOk ? CommitOutcome::committed : CommitOutcome::conflict;
     result.revision = response->revision;
     if (result.outcome == CommitOutcome::conflict) {
         result.failed = std::move(response->failed_conditions);
@@ -217,7 +213,7 @@
     call.urgent = true;
     auto sending = send(std::move(call));
     const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status != kStatusOk) co_return std::nullopt;
+    if (reply.status != http_status::kOk) co_return std::nullopt;
     const auto body = decode(reply, "create_lease");
     if (!body) co_return std::nullopt;
     co_return wire::parse_lease_response(*body).optional();
@@ -228,8 +224,8 @@
     call.urgent = true;
     auto sending = send(std::move(call));
     const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status == kStatusOk) co_return Renewal::done;
-    co_return reply.status == kStatusNotFound ? Renewal::ended : Renewal::failed;
+    if (reply.status == http_status::kOk) co_return Renewal::done;
+    co_return reply.status == http_status::kNotFound ? Renewal::ended : Renewal::failed;
 }
 
 Task<WatchResult> StoreClient::watch(std::string prefix, core::Revision after, Micros block) {
@@ -248,11 +244,11 @@
     // An answer has no bound: after a long cut it holds all that was written since, many times what the store
     // holds, and reading it once ended a small controller for want of memory. The store itself comes in
     // pages.
-    if (reply.status == kStatusGone || reply.too_large) {
+    if (reply.status == http_status::kGone || reply.too_large) {
         result.too_old = true;
         co_return result;
     }
-    if (reply.status != kStatusOk) co_return result;
+    if (reply.status != http_status::kOk) co_return result;
     const auto body = decode(reply, "watch");
     if (!body) co_return result;
     auto page = wire::parse_watch(*body);
--- a/src/wire/store_api.cpp
+++ b/src/wire/store_api.cpp
@@ -88,8 +88,9 @@
 
 Json transaction_request(const Transaction& transaction) {
     Json conditions = Json::array();
-    for (const auto& [key, mod_revision] : transaction.conditions)
-        conditions.push_back({{field::kKey, key}, {field::kModRevision, mod_revision}});
+    for (const auto& condition : transaction.conditions) {
+        conditions.push_back({{field::kKey, condition.key}, {field::kModRevision, condition.mod_revision}});
+    }
     Json writes = Json::array();
     for (const auto& write : transaction.writes) writes.push_back(write_request(write));
     return {{field::kConditions, std::move(conditions)}, {field::kWrites, std::move(writes)}};
--- a/src/wire/store_api.hpp
+++ b/src/wire/store_api.hpp
@@ -5,7 +5,6 @@
 #include <cstdint>
 #include <optional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "core/model.hpp"
@@ -41,10 +40,17 @@
     std::uint64_t store_lease = 0;  ///< the key ends with this lease; 0: it stays
 };
 
+/// What a transaction requires of one key.
+struct Condition {
+    std::string key;
+    core::Revision mod_revision = 0;  ///< of the key's latest change; 0: the key does not exist
+
+    friend bool operator==(const Condition&, const Condition&) = default;
+};
+
 /// A compare-and-swap: all writes are carried out at one revision if every condition holds, else none.
 struct Transaction {
-    /// Keys with the revision of their latest change; 0: the key does not exist.
-    std::vector<std::pair<std::string, core::Revision>> conditions;
+    std::vector<Condition> conditions;
     std::vector<Write> writes;
 };
 
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -4,6 +4,7 @@
 
 #include <utility>
 
+#include "io/http_status.hpp"
 #include "wire/worker_api.hpp"
 #include "workers/worker_http_limits.hpp"
 
@@ -16,8 +17,6 @@
 namespace {
 constexpr Micros kCommandTimeout{2'500'000};
 constexpr std::size_t kMaxQueuedCommands = 256;  // for one machine
-constexpr int kStatusOk = 200;
-constexpr int kStatusConflict = 409;  // a higher fencing token or another incarnation: refused, but answered
 }  // namespace
 
 void CommandSender::forget_earlier_epochs() {
@@ -75,7 +74,8 @@
 void CommandSender::handle_reply(const std::string& machine, std::uint64_t epoch,
                                  const std::vector<core::WorkerCommand>& commands,
                                  const io::HttpReply& reply) {
-    const bool answered = reply.status == kStatusOk || reply.status == kStatusConflict;
+    // A conflict is a higher fencing token or another incarnation: refused, but answered.
+    const bool answered = reply.status == io::http_status::kOk || reply.status == io::http_status::kConflict;
     // One copy of each: another one that got no answer may still arrive.
     if (answered || reply.never_sent) resolve_start_copies(commands, epoch);
     if (answered) {
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "io/http_responses.hpp"
 #include "wire/worker_api.hpp"
 
 namespace hatchwind::controller {
@@ -14,8 +15,6 @@
 using io::steady_now;
 
 namespace {
-constexpr int kStatusBadRequest = 400;
-constexpr int kStatusMisdirected = 421;
 constexpr Micros kLoadInterval{1'000'000};
 constexpr std::size_t kLoadSlackParts = 4;  // a quarter above the even share, and some
 constexpr std::size_t kLoadSlackWorkers = 4;
@@ -57,21 +56,17 @@
 }
 
 HttpResponse HeartbeatHandler::redirect_to(const std::string& label) {
-    HttpResponse response;
-    response.status = kStatusMisdirected;
-    response.body = wire::encode(wire::redirect_response(label));
-    return response;
+    return io::response_with_body(io::http_status::kMisdirectedRequest,
+                                  wire::encode(wire::redirect_response(label)));
 }
 
 HttpResponse HeartbeatHandler::handle(const std::string& body) {
     const auto decoded = wire::decode(body);
     auto heartbeat = decoded ? wire::parse_worker_heartbeat(*decoded).optional() : std::nullopt;
-    HttpResponse response;
     if (!heartbeat) {
         ++malformed_;
         spdlog::warn("event=malformed_heartbeat count={}", malformed_);
-        response.status = kStatusBadRequest;
-        return response;
+        return io::plain_response(io::http_status::kBadRequest);
     }
     const std::uint64_t epoch = replicated_.epoch().number;
     // Not entitled, or behind the epoch that the worker has heard of: an answer would keep the worker here
@@ -85,8 +80,7 @@
     }
     const auto stops = stops_for_cancelled(*heartbeat);
     workers_.handle_heartbeat(std::move(*heartbeat));
-    response.body = wire::encode(wire::heartbeat_response(epoch, stops));
-    return response;
+    return io::response_with_body(io::http_status::kOk, wire::encode(wire::heartbeat_response(epoch, stops)));
 }
 
 std::vector<core::WorkerCommand> HeartbeatHandler::stops_for_cancelled(
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "io/http_status.hpp"
 #include "workers/worker_http_limits.hpp"
 
 namespace hatchwind::controller {
@@ -14,7 +15,6 @@
 using io::Task;
 
 namespace {
-constexpr int kStatusOk = 200;
 constexpr std::size_t kMinConcurrentProbes = 32;
 constexpr std::size_t kFleetPartProbed = 8;
 constexpr Micros kProbeCheckInterval{200'000};
@@ -42,7 +42,7 @@
     auto asking = context_.worker_http.send(*address, "GET", "/status", "", steady_now() + kProbeTimeout,
                                             kMaxWorkerStatusBytes);
     const io::HttpReply reply = co_await std::move(asking);
-    if (reply.status == kStatusOk) {
+    if (reply.status == io::http_status::kOk) {
         context_.workers.handle_response_body(reply.body);
         context_.probes.remove(machine);
         context_.signals.scheduling_needed.notify_all();
@@ -108,7 +108,7 @@
         auto asking = context_.worker_http.send(address, "GET", "/status", "",
                                                 steady_now() + kConnectivityTimeout, kMaxWorkerStatusBytes);
         const io::HttpReply reply = co_await std::move(asking);
-        if (reply.status != kStatusOk) continue;
+        if (reply.status != io::http_status::kOk) continue;
         context_.workers.handle_response_body(reply.body);
         co_return true;
     }
