--- a/src/core/job_table.cpp
+++ b/src/core/job_table.cpp
@@ -1,6 +1,7 @@
 #include "core/job_table.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace hatchwind::core {
 
@@ -68,8 +69,8 @@
 
 void JobTable::adopt_orphans(const std::string& job) {
     for (auto orphan = orphans_.lower_bound({job, 0});
-         orphan != orphans_.end() && orphan->first.first == job;) {
-        const std::uint32_t index = orphan->first.second;
+         orphan != orphans_.end() && orphan->first.job == job;) {
+        const std::uint32_t index = orphan->first.number;
         Chunk chunk = std::move(orphan->second);
         orphan = orphans_.erase(orphan);
         put_chunk(job, index, std::move(chunk));
@@ -127,23 +128,23 @@
 void JobTable::put_page(const AttemptPageKey& key, Revision mod_revision, std::map<ChunkKey, Chunk> chunks) {
     AttemptPage& page = pages_[key];
     if (page.mod_revision >= mod_revision) return;
-    for (const auto& [job, index] : page.chunks) {
-        if (!chunks.contains({job, index})) erase_chunk(job, index, mod_revision);
+    for (const auto& chunk : page.chunks) {
+        if (!chunks.contains(chunk)) erase_chunk(chunk.job, chunk.number, mod_revision);
     }
     page.mod_revision = mod_revision;
     page.chunks.clear();
     for (auto& [chunk_key, chunk] : chunks) {
         page.chunks.insert(chunk_key);
         chunk.mod_revision = mod_revision;
-        chunk.page = key.second;
-        put_chunk(chunk_key.first, chunk_key.second, std::move(chunk));
+        chunk.page = key.number;
+        put_chunk(chunk_key.job, chunk_key.number, std::move(chunk));
     }
 }
 
 void JobTable::erase_page(const AttemptPageKey& key, Revision erased_at) {
     const auto page = pages_.find(key);
     if (page == pages_.end() || page->second.mod_revision >= erased_at) return;
-    for (const auto& [job, index] : page->second.chunks) erase_chunk(job, index, erased_at);
+    for (const auto& chunk : page->second.chunks) erase_chunk(chunk.job, chunk.number, erased_at);
     pages_.erase(page);
 }
 
--- a/src/core/job_table.hpp
+++ b/src/core/job_table.hpp
@@ -3,12 +3,12 @@
 /// come in any order.
 #pragma once
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "core/job.hpp"
@@ -37,8 +37,12 @@
     std::uint64_t last_attempt = 0;         ///< highest attempt number of its tasks
     std::uint32_t page = 0;                 ///< number of the team's page that contains it; 0: none yet
 };
-/// Job, and number of the chunk: task / kChunkTasks.
-using ChunkKey = std::pair<std::string, std::uint32_t>;
+/// Which chunk of which job. Ordered by job, so the chunks of one job follow each other.
+struct ChunkKey {
+    std::string job;
+    std::uint32_t number = 0;  ///< task / kChunkTasks
+    friend auto operator<=>(const ChunkKey&, const ChunkKey&) = default;
+};
 
 /// One record of the store: chunks of many jobs of one team. The store limits the number of writes and not
 /// what they contain, so what starts and ends at the same time is written together.
@@ -46,8 +50,19 @@
     Revision mod_revision = 0;
     std::set<ChunkKey> chunks;  ///< some may be of jobs that are over
 };
-/// Team, and number of the page from 1.
-using AttemptPageKey = std::pair<std::string, std::uint32_t>;
+/// Which attempt page of which team. Ordered by team.
+struct AttemptPageKey {
+    std::string team;
+    std::uint32_t number = 0;  ///< from 1
+    friend auto operator<=>(const AttemptPageKey&, const AttemptPageKey&) = default;
+};
+
+/// Which part of a dependency list that is too long for a waiting job's record.
+struct DependencyPartKey {
+    std::string list;
+    std::uint32_t number = 0;  ///< from 0
+    friend auto operator<=>(const DependencyPartKey&, const DependencyPartKey&) = default;
+};
 
 /// A job with the state of its tasks.
 struct JobEntry {
@@ -102,9 +117,8 @@
     /// Page records by key. Their chunks are in the jobs' entries, or orphans.
     const std::map<AttemptPageKey, AttemptPage>& pages() const { return pages_; }
     void erase_job(const std::string& job, Revision erased_at);
-    /// Parts of dependency lists that are too long for a waiting job's record, by name of the list and number
-    /// of the part. The content of a part never changes, so parts have no revisions.
-    using DependencyParts = std::map<std::pair<std::string, std::uint32_t>, std::vector<std::string>>;
+    /// Ids of the jobs that each part names. The content of a part never changes, so parts have no revisions.
+    using DependencyParts = std::map<DependencyPartKey, std::vector<std::string>>;
     void put_dependency_part(const std::string& job, const std::string& list, std::uint32_t part,
                              std::vector<std::string> ids);
     void erase_dependency_part(const std::string& job, const std::string& list, std::uint32_t part);
--- a/src/core/placement_trial.cpp
+++ b/src/core/placement_trial.cpp
@@ -31,7 +31,7 @@
 }
 
 bool PlacementTrial::full() const {
-    return result_.starts.size() >= input_.most_starts || records_.size() >= input_.most_records;
+    return result_.starts.size() >= input_.most_starts || started_chunks_.size() >= input_.most_records;
 }
 
 bool PlacementTrial::within_limit(const Job& job, std::uint32_t more_tasks) const {
@@ -71,7 +71,7 @@
     charge_team(entry.job.team, entry.job.resources);
     result_.starts.push_back({entry.job.id, task, {attempt, chosen.id, chosen.incarnation}});
     started_.insert({entry.job.id, task});
-    records_.insert({&entry, task / kChunkTasks});
+    started_chunks_.insert({&entry, task / kChunkTasks});
 }
 
 bool PlacementTrial::listed_on(std::size_t machine, const JobEntry& entry, std::uint32_t task) const {
--- a/src/core/placement_trial.hpp
+++ b/src/core/placement_trial.hpp
@@ -2,10 +2,11 @@
 /// capacity, of the teams' limits and of the pass's own bounds. The steps of a pass share one trial.
 #pragma once
 
+#include <compare>
+#include <cstdint>
 #include <map>
 #include <set>
 #include <string>
-#include <utility>
 
 #include "core/placement.hpp"
 
@@ -61,6 +62,13 @@
     void roll_back(const Savepoint& savepoint);
 
   private:
+    // A chunk with a task that starts in this pass.
+    struct StartedChunk {
+        const JobEntry* entry = nullptr;
+        std::uint32_t number = 0;
+        friend auto operator<=>(const StartedChunk&, const StartedChunk&) = default;
+    };
+
     bool fits_limit(const Job& job, const Resources& use, std::uint32_t more_tasks) const;
     void take_reserved(const Reservation& reservation, double sign);
     void reserve_known();
@@ -74,7 +82,7 @@
     double free_spot_cpus_ = 0;
     double free_ordinary_cpus_ = 0;
     std::set<TaskRef> started_;
-    std::set<std::pair<const JobEntry*, std::uint32_t>> records_;  // job and number of the chunk
+    std::set<StartedChunk> started_chunks_;  // each costs a record
 };
 
 }  // namespace hatchwind::core
--- a/src/scheduling/attempt_page_split.cpp
+++ b/src/scheduling/attempt_page_split.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 std::size_t chunk_bytes(const core::ChunkKey& key, const core::Chunk& chunk) {
-    return kChunkFrame + key.first.size() + std::to_string(key.second).size() +
+    return kChunkFrame + key.job.size() + std::to_string(key.number).size() +
            wire::chunk_record(chunk).dump().size();
 }
 
--- a/src/scheduling/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -34,7 +34,7 @@
 }
 
 std::size_t json_bytes(const core::ChunkKey& key, const core::Chunk& chunk, std::size_t longest_name) {
-    return kChunkBytes + key.first.size() + chunk.open.size() * (longest_name + kAttemptBytes) +
+    return kChunkBytes + key.job.size() + chunk.open.size() * (longest_name + kAttemptBytes) +
            chunk.done.ranges().size() * kRangeBytes;
 }
 }  // namespace
@@ -78,7 +78,7 @@
     unit.extra.push_back({keys::final(job), wire::final_record(status, done), 0});
     unit.ends.emplace_back(job, FinalState{status, done});
     auto record = staged.chunks.lower_bound({job, 0});
-    while (record != staged.chunks.end() && record->first.first == job) {
+    while (record != staged.chunks.end() && record->first.job == job) {
         append(unit.closed, record->second.closed);
         record = staged.chunks.erase(record);
     }
@@ -90,9 +90,9 @@
     const auto known = replicated_.job_table().pages().find(page);
     if (known == replicated_.job_table().pages().end()) return content;
     for (const auto& chunk : known->second.chunks) {
-        const core::JobEntry* entry = replicated_.job_table().find(chunk.first);
-        if (entry == nullptr || ending.contains(chunk.first)) continue;
-        content[chunk] = &entry->chunks.at(chunk.second);
+        const core::JobEntry* entry = replicated_.job_table().find(chunk.job);
+        if (entry == nullptr || ending.contains(chunk.job)) continue;
+        content[chunk] = &entry->chunks.at(chunk.number);
     }
     return content;
 }
@@ -134,9 +134,9 @@
     spdlog::info("event=page_split page={} bytes={} parts={}", keys::page(page), page_bytes(content),
                  parts.size());
     unit.effects.push_back({keys::page(page), wire::page_record(parts.front()), 0});
-    core::AttemptPageKey fresh{page.first, 1};
+    core::AttemptPageKey fresh{page.team, 1};
     for (std::size_t i = 1; i < parts.size(); ++i) {
-        while (taken.contains(fresh) || replicated_.job_table().pages().contains(fresh)) ++fresh.second;
+        while (taken.contains(fresh) || replicated_.job_table().pages().contains(fresh)) ++fresh.number;
         taken.insert(fresh);
         unit.conditions.emplace_back(keys::page(fresh), 0);
         unit.effects.push_back({keys::page(fresh), wire::page_record(parts[i]), 0});
@@ -145,12 +145,12 @@
 
 void AttemptPageWriter::add_chunk(WriteUnit& unit, const core::ChunkKey& key, const ChunkRecord& record,
                                   Micros now) {
-    const core::JobEntry& entry = *replicated_.job_table().find(key.first);
+    const core::JobEntry& entry = *replicated_.job_table().find(key.job);
     const bool production = entry.job.priority == core::Priority::production;
     unit.rank = std::min(unit.rank, rank_of(key, record, production, now));
     if (!record.started.empty()) {
         // A cancel that comes first must keep the start from being recorded; and so must the job's end.
-        const std::pair<std::string, core::Revision> condition{keys::job(key.first), entry.mod_revision};
+        const std::pair<std::string, core::Revision> condition{keys::job(key.job), entry.mod_revision};
         if (unit.conditions.back() != condition) unit.conditions.push_back(condition);
     }
     unit.chunks.push_back(key);
@@ -167,7 +167,7 @@
     if (record.urgent) return production ? WriteRank::production : WriteRank::urgent;
     if (waited <= kCompletionsWait) return WriteRank::completion;
     const bool overdue =
-        waited > kCompletionsWaitAtMost || near_limit(replicated_.job_table().find(key.first)->job.team);
+        waited > kCompletionsWaitAtMost || near_limit(replicated_.job_table().find(key.job)->job.team);
     return overdue ? WriteRank::overdue_completion : WriteRank::due_completion;
 }
 
--- a/src/scheduling/attempt_reconciler.cpp
+++ b/src/scheduling/attempt_reconciler.cpp
@@ -136,8 +136,8 @@
         std::uint32_t done = entry.done;
         std::uint32_t open = entry.open;
         auto record = staged.chunks.lower_bound({id, 0});
-        for (; record != staged.chunks.end() && record->first.first == id; ++record) {
-            const ChunkChange change = change_of(entry, record->first.second, record->second.chunk);
+        for (; record != staged.chunks.end() && record->first.job == id; ++record) {
+            const ChunkChange change = change_of(entry, record->first.number, record->second.chunk);
             done += change.newly_done;
             open -= change.newly_closed;
         }
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -186,7 +186,7 @@
         if (replicated_.job_table().find(job) == nullptr && final_states_.known(job) == nullptr) continue;
         for (const auto& [part, ids] : replicated_.job_table().dependency_parts().at(job)) {
             if (t.writes.size() >= settings_.txn_ops) break;
-            const std::string key = keys::dependency_part(job, part.first, part.second);
+            const std::string key = keys::dependency_part(job, part.list, part.number);
             t.writes.push_back({key, std::nullopt, 0});
             effects.push_back({key, std::nullopt, 0});
         }
--- a/src/scheduling/group_commit.cpp
+++ b/src/scheduling/group_commit.cpp
@@ -186,7 +186,7 @@
 
 bool GroupCommit::unused(const core::AttemptPage& page) const {
     return std::none_of(page.chunks.begin(), page.chunks.end(), [&](const auto& chunk) {
-        return replicated_.job_table().find(chunk.first) != nullptr;
+        return replicated_.job_table().find(chunk.job) != nullptr;
     });
 }
 
@@ -196,7 +196,7 @@
     transaction.conditions.emplace_back(keys::kEpoch, replicated_.epoch().mod_revision);
     for (const auto& [key, page] : replicated_.job_table().pages()) {
         if (transaction.writes.size() >= std::min(kErasedTogether, settings_.txn_ops)) break;
-        if (!leadership_.owns_shard(key.first) || !unused(page)) continue;
+        if (!leadership_.owns_shard(key.team) || !unused(page)) continue;
         transaction.conditions.emplace_back(keys::page(key), page.mod_revision);
         transaction.writes.push_back({keys::page(key), std::nullopt, 0});
         effects.push_back({keys::page(key), std::nullopt, 0});
--- a/src/scheduling/page_assignment.cpp
+++ b/src/scheduling/page_assignment.cpp
@@ -34,22 +34,22 @@
           capacity_(page_bytes(input.settings)),
           longest_name_(input.cluster_view.longest_name()) {
         for (const auto& [key, page] : job_table_.pages()) {
-            if (input.leadership.owns_shard(key.first)) load_[key] = load_of(page, ending);
+            if (input.leadership.owns_shard(key.team)) load_[key] = load_of(page, ending);
         }
     }
 
     Pages assign(StagedRecords& staged) {
         for (const auto& [key, record] : staged.chunks) {
             if (record.chunk.page == 0) continue;
-            touched_[{job_table_.find(key.first)->job.team, record.chunk.page}].push_back(key);
+            touched_[{job_table_.find(key.job)->job.team, record.chunk.page}].push_back(key);
         }
         for (auto& [key, record] : staged.chunks) {
             if (record.chunk.page != 0) continue;
-            const core::JobEntry& entry = *job_table_.find(key.first);
-            const std::size_t bytes = reserve(entry, key.second, record.chunk);
+            const core::JobEntry& entry = *job_table_.find(key.job);
+            const std::size_t bytes = reserve(entry, key.number, record.chunk);
             const core::AttemptPageKey page = choose(entry.job.team, bytes);
             load_[page] += bytes;
-            record.chunk.page = page.second;
+            record.chunk.page = page.number;
             touched_[page].push_back(key);
         }
         return std::move(touched_);
@@ -99,7 +99,7 @@
     std::optional<core::AttemptPageKey> last_touched(const std::string& team, std::size_t bytes) {
         std::optional<core::AttemptPageKey> last;
         for (const auto& [page, chunks] : touched_) {
-            if (page.first == team && load_[page] + bytes <= capacity_) last = page;
+            if (page.team == team && load_[page] + bytes <= capacity_) last = page;
         }
         return last;
     }
@@ -109,8 +109,8 @@
         core::AttemptPageKey fresh{team, 1};
         std::size_t least = capacity_;
         for (const auto& [page, load] : load_) {
-            if (page.first != team) continue;
-            if (page.second == fresh.second) ++fresh.second;
+            if (page.team != team) continue;
+            if (page.number == fresh.number) ++fresh.number;
             if (load + bytes > least) continue;
             least = load + bytes;
             emptiest = page;
--- a/src/store/store_keys.hpp
+++ b/src/store/store_keys.hpp
@@ -22,7 +22,7 @@
 inline std::string member(const std::string& label) { return std::string(kMemberPrefix) + label; }
 inline std::string job(const std::string& id) { return std::string(kJobPrefix) + id; }
 inline std::string page(const core::AttemptPageKey& key) {
-    return std::string(kAttemptPagePrefix) + key.first + "/" + std::to_string(key.second);
+    return std::string(kAttemptPagePrefix) + key.team + "/" + std::to_string(key.number);
 }
 /// A part of a dependency list that is too long for its job's record.
 inline std::string dependency_part(const std::string& job, const std::string& list, std::uint32_t part) {
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -317,7 +317,7 @@
 
 Json page_record(const std::map<core::ChunkKey, const core::Chunk*>& chunks) {
     Json content = Json::object();
-    for (const auto& [key, chunk] : chunks) content[task_name(key.first, key.second)] = chunk_record(*chunk);
+    for (const auto& [key, chunk] : chunks) content[task_name(key.job, key.number)] = chunk_record(*chunk);
     return {{field::kChunks, std::move(content)}};
 }
 
