--- a/tests/meetings_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -50,7 +50,7 @@
 
 // A task is told to stop for another. Until its worker says that it is gone it counts against its team's
 // limit: it may be saving, its machine may hang, the command may be late.
-TEST(QuotaMeetings, AStopForRoomFreesNothingOfTheLimitBeforeTheTaskIsGone) {
+TEST(Quota, APreemptedTaskCountsUntilItHasExited) {
     test::Cluster c;
     c.teams["x"] = {"x", 4, 8, 0, 0};
     c.teams["y"] = {"y", 8, 24, 0, 0};
@@ -92,7 +92,7 @@
 // The end of an attempt is recorded, and its worker still lists it: its reap is lost with the owner that
 // ended, or has to wait because a copy of the start is under way. On a fleet with one machine that fits, the
 // task waited for that reap for ever.
-TEST(WaitingMeetings, AnEndedAttemptThatIsStillListedKeepsNoNewOneAway) {
+TEST(Placement, AnExitedAttemptThatIsStillListedBlocksNoNewAttempt) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
     auto machine = test::report("n-1", "small", "a");
@@ -118,7 +118,7 @@
 
 // An overdue job keeps its team's later jobs from what the limit leaves, so that it begins at last. Where the
 // team's services alone keep it out it never begins, and the others waited with it.
-TEST(WaitingMeetings, AJobThatItsTeamsServicesKeepOutHoldsBackNoOther) {
+TEST(Placement, AJobThatItsTeamsServicesKeepOutBlocksNoOtherJob) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 8, 0, 0};
     auto machine = test::report("n-1", "big", "a");
@@ -189,7 +189,7 @@
 
 // The replica is read anew, and while the pages are under way the owner records the end of an attempt and has
 // it reaped. The pages still call it open, its worker does not list it any more: it was started again.
-TEST(StoreMeetings, AnAttemptThatEndsWhileTheReplicaIsReadAnewIsNotStartedAgain) {
+TEST(ReplicaReload, AnAttemptThatEndsDuringItIsNotStartedAgain) {
     Site site{1};
     site.world.run_time = Micros{500'000};
     site.play([](Site& s) -> Task<void> {
@@ -224,7 +224,7 @@
 
 // A start is held up on its way, unanswered, and the job is cancelled meanwhile. The end may be recorded only
 // when no copy can still take effect.
-TEST(CommandMeetings, AStartThatArrivesAfterTheJobIsCancelledRunsNothing) {
+TEST(DelayedCommands, AStartThatArrivesAfterTheCancellationRunsNothing) {
     Site site{1};
     site.world.endless = {"req-2"};
     site.play([](Site& s) -> Task<void> {
@@ -267,7 +267,7 @@
 
 // The same with a leader that ends in between, and a machine that hears nobody: the new owner has sent no
 // start, but the old one's may still arrive, since the worker has not heard of the new fencing token.
-TEST(CommandMeetings, AStartOfAnEndedLeaderArrivesAfterTheCancelAtTheNextOne) {
+TEST(DelayedCommands, AStartOfThePreviousLeaderKeepsACancelledJobOpenUntilItIsStopped) {
     Site site{2};
     site.world.endless = {"req-2"};
     set_lease(site, 8);
@@ -323,7 +323,7 @@
 
 // Its reports came in, and its lease ran out all the same: it may hear nobody, and what it is given never
 // starts.
-TEST(OneWayMeetings, AMachineWhoseSessionEndedAnswersBeforeItTakesTasksAgain) {
+TEST(OneWayPartition, AWorkerOfANewIncarnationAnswersBeforeItTakesTasksAgain) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
     c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
@@ -348,7 +348,7 @@
 
 // Reports of a machine arrive, answers and commands do not, and the leader ends. The machine is alive for
 // nobody: its lease runs out on its own side, and its tasks are placed elsewhere then, not before.
-TEST(OneWayMeetings, ADeafMachinesTasksMoveOnceItsLeaseHasEndedAcrossALeadersEnd) {
+TEST(OneWayPartition, TasksMoveOnceTheLeaseHasExpiredAcrossAFailover) {
     Site site{2};
     site.world.endless = {"req-1"};
     set_lease(site, 4);
@@ -384,7 +384,7 @@
 
 // All controllers are away for longer than a lease. When they are back, copies of reports of the sessions
 // before reach every one of them first, and again and again.
-TEST(ReportMeetings, ReportsOfEndedSessionsReachControllersThatWereAllAway) {
+TEST(StaleHeartbeats, OfEndedIncarnationsAtRestartedControllersStartNoTaskTwice) {
     Site site{3};
     site.world.endless = {"req-1", "req-2"};
     set_lease(site, 2);
@@ -424,7 +424,7 @@
 
 // Two tasks of one job end far apart. One ends just before the leader does, the other's machine hangs
 // meanwhile, within its lease.
-TEST(LeaderMeetings, TasksThatEndFarApartAcrossALeadersEndAreCountedOnce) {
+TEST(LeaderFailover, TasksThatEndBeforeAndAfterItAreCountedOnce) {
     Site site{2};
     site.world.run_time = Micros{0};
     site.world.endless = {"req-1"};
@@ -470,7 +470,7 @@
 
 // A team is at its limit, one of its machines hangs, its job is cancelled, and the leader ends. What the
 // limit leaves is free only when the tasks were seen gone.
-TEST(QuotaMeetings, ACancelledTaskOnAMachineThatCantBeAskedCountsUntilItIsGone) {
+TEST(Quota, ACancelledTaskOnAnUnreachableMachineCountsUntilItHasExited) {
     Site site{2};
     site.world.endless = {"req-1", "req-2"};
     set_lease(site, 6);
@@ -508,7 +508,7 @@
 
 // Machines are up at once and get work while the store is slow to answer, and the leader ends. What it had
 // recorded runs once, and no machine that it had rented is lost or rented a second time for the same work.
-TEST(NewMachineMeetings, MachinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds) {
+TEST(LeaderFailover, ASlowStoreDuringScaleOutStartsNoTaskTwice) {
     Site site{2};
     site.world.endless = {"req-1", "req-2"};
     site.state.answer_after = [](const Json&) { return Micros{400'000}; };
@@ -536,7 +536,7 @@
 
 // An array bound to one zone loses a machine, and then the leader that knew where its tasks were. Its tasks
 // that cannot be reached are still where they are.
-TEST(ZoneMeetings, AnArrayBoundToOneZoneThatLosesAMachineStaysThereAcrossALeadersEnd) {
+TEST(LeaderFailover, AOneZoneArrayThatLosesAMachineStaysInItsZone) {
     Site site{2};
     site.world.endless = {"req-1"};
     set_lease(site, 4);
@@ -581,7 +581,7 @@
 }
 
 // A machine or a job that fails is tried ever more seldom, and yet so often that nothing waits 90 s for it.
-TEST(WaitingMeetings, NoBackoffLastsAsLongAsAJobMayWait) {
+TEST(FailureBackoff, IsShorterThanAJobMayWait) {
     for (int errors = 1; errors < 100; ++errors) {
         EXPECT_LT(core::machine_backoff(errors), core::kBeginWithin) << errors;
         EXPECT_LT(core::job_backoff(errors), core::kBeginWithin) << errors;
--- a/tests/emulator_models_test.cpp
+++ b/tests/emulator_models_test.cpp
@@ -224,7 +224,7 @@
     expect_only(Rule::forgotten);
 }
 
-TEST_F(CheckerTest, AnOutageForEverybodyForgetsNobodyUntilTroublesAreOverForSeventyFiveSeconds) {
+TEST_F(CheckerTest, AnOutageForEverybodyForgetsNobodyUntilFaultsAreOverForSeventyFiveSeconds) {
     submit(1, plain_job("req-1"));
     for (double time = 5; time < 200; time += 5) answer(time, RequestKind::poll, "req-1", 503);
     EXPECT_TRUE(checker_->violations().empty());
@@ -398,7 +398,7 @@
     bool serving = (scope.spawn(server.serve()), true);
 };
 
-TEST_F(WorkerTest, AnAnsweredWorkerKeepsItsSessionAndLearnsTheToken) {
+TEST_F(WorkerTest, AnAnsweredWorkerKeepsItsIncarnationAndLearnsTheFencingToken) {
     play(1);
     EXPECT_EQ(worker->incarnation(), 1U);
     EXPECT_EQ(worker->fencing_token(), 5U);
@@ -413,7 +413,7 @@
     EXPECT_TRUE(watcher.saw("gone from n-1: lease over"));
 }
 
-TEST_F(WorkerTest, DirectCommandsCountOnlyWithTokenAndSession) {
+TEST_F(WorkerTest, DirectCommandsCountOnlyWithFencingTokenAndIncarnation) {
     scope.spawn(command_after(0.15, 4, 1, start_call(0)));
     scope.spawn(command_after(0.16, 5, 2, start_call(0)));
     after(0.25, [&] {
@@ -451,7 +451,7 @@
     EXPECT_TRUE(worker->tasks().empty());
 }
 
-TEST_F(WorkerTest, ADeafWorkerReportsAndHearsNothing) {
+TEST_F(WorkerTest, ADeafWorkerSendsHeartbeatsAndReceivesNothing) {
     worker->set_deaf(true);
     scope.spawn(command_after(0.05, 5, 1, start_call(0)));
     play(0.6);
@@ -461,7 +461,7 @@
     EXPECT_TRUE(worker->tasks().empty());
 }
 
-TEST_F(WorkerTest, CommandsToAHangingMachineAreCarriedOutWhenItResumesInItsSession) {
+TEST_F(WorkerTest, CommandsToAHangingMachineAreCarriedOutWhenItResumesInItsIncarnation) {
     after(0.2, [&] { worker->hang(); });
     scope.spawn(command_after(0.22, 5, 1, start_call(0)));
     after(0.3, [&] {
@@ -486,7 +486,7 @@
     EXPECT_EQ(command_statuses, (std::vector<int>{200, 409}));
 }
 
-TEST_F(WorkerTest, HeldUpCommandsAreCarriedOutOnceLater) {
+TEST_F(WorkerTest, DelayedCommandsAreCarriedOutOnce) {
     worker->set_late_commands({1.0, at(0.1), at(0.11)});
     scope.spawn(command_after(0, 5, 1, start_call(0)));
     after(0.05, [&] { EXPECT_TRUE(worker->tasks().empty()); });
@@ -495,7 +495,7 @@
     EXPECT_TRUE(command_statuses.empty());
 }
 
-TEST_F(WorkerTest, CopiesOfReportsKeptForTheNextLeaderArriveWhenReleased) {
+TEST_F(WorkerTest, HeartbeatsRecordedForTheNextLeaderArriveWhenReleased) {
     worker->set_late_reports({1.0, at(0), at(0), true});
     Json oldest;
     after(0.3, [&] {
@@ -747,7 +747,7 @@
     std::unique_ptr<Cloud> cloud;
 };
 
-TEST_F(CloudTest, ARepeatedRequestNameRentsNothingAndARefusedOneMayBeUsedAgain) {
+TEST_F(CloudTest, ARepeatedRequestIdScalesOutNothingAndARefusedOneMayBeUsedAgain) {
     play({{"/rentals", ask("r-1", 1)},
           {"/rentals", ask("r-1", 1)},
           {"/rentals", ask("r-2", 5)},
@@ -779,7 +779,7 @@
     EXPECT_FALSE(answers[1]["hasNext"].get<bool>());
 }
 
-TEST_F(CloudTest, AnOutageIsAnsweredWithTrouble) {
+TEST_F(CloudTest, AnOutageIsAnsweredWithAnError) {
     cloud->set_outage(true);
     play({{"/catalog", nullptr}});
     EXPECT_EQ(statuses, std::vector<int>{503});
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -246,7 +246,7 @@
     EXPECT_GT(play.checker().counts().starts, 10U);
 }
 
-TEST(EmulatedScenario, MachineThatComesUpInACutZoneIsCutOffToo) {
+TEST(EmulatedScenario, MachineThatComesUpInAPartitionedZoneIsPartitionedToo) {
     World world(seeded(9));
     Host& inside = world.add_host("inside", {"a"});
     Host& outside = world.add_host("outside", {"b"});
@@ -269,7 +269,7 @@
     EXPECT_EQ(clients[1]->answered.size(), 0U);
 }
 
-TEST(EmulatedHost, ClockDriftsAsTold) {
+TEST(EmulatedHost, ClockDriftsAsConfigured) {
     World world(seeded(1));
     const Host& exact = world.add_host("exact");
     const Host& fast = world.add_host("fast", {"a", 500});
@@ -313,7 +313,7 @@
     EXPECT_LT(pair.client->failed.size(), 20U);
 }
 
-TEST(EmulatedNetwork, CutOfAnswersLetsRequestsArrive) {
+TEST(EmulatedNetwork, PartitionOfAnswersLetsRequestsArrive) {
     EchoPair pair(4);
     emulator::CutId cut = 0;
     pair.world.at(seconds(10), [&] {
@@ -332,7 +332,7 @@
     EXPECT_GT(pair.client->answered_between(seconds(12), seconds(20)), 60U);
 }
 
-TEST(EmulatedNetwork, HeldRequestArrivesLateThoughItsSenderHasGivenUp) {
+TEST(EmulatedNetwork, DelayedRequestArrivesThoughItsSenderHasGivenUp) {
     EchoPair pair(5);
     emulator::CutId cut = 0;
     pair.world.at(seconds(10), [&] {
@@ -397,7 +397,7 @@
     EXPECT_EQ(received, 3'000'000U);
 }
 
-TEST(EmulatedState, ConditionsHoldAndStampsFollow) {
+TEST(EmulatedState, ConditionsHoldAndRevisionsFollow) {
     StateWorld w;
     const Json create{{"when", Json::array({{{"path", "k"}, {"stamp", 0}}})},
                       {"writes", Json::array({{{"write", "k"}, {"v", 1}}})}};
@@ -410,7 +410,7 @@
     EXPECT_EQ(w.one.get("missing"), 404);
 }
 
-TEST(EmulatedState, GrantEndsWithinATenthOfASecondNeverEarlyAndTakesItsKeys) {
+TEST(EmulatedState, LeaseExpiresWithinATenthOfASecondNeverEarlyAndTakesItsKeys) {
     StateWorld w;
     const auto store_lease = w.one.store_lease(1000);
     ASSERT_EQ(w.one.put("mine", 1, store_lease).status, 200);
@@ -425,7 +425,7 @@
     EXPECT_EQ(w.one.put("mine", 1, store_lease).status, 400);
 }
 
-TEST(EmulatedState, OutageAnswers503GivesGrantsFullTimeAndKeepsWatchesOpen) {
+TEST(EmulatedState, OutageAnswers503RenewsLeasesInFullAndKeepsWatchesOpen) {
     StateWorld w;
     const auto store_lease = w.one.store_lease(1000);
     ASSERT_EQ(w.one.put("a/1", 1, store_lease).status, 200);
@@ -447,7 +447,7 @@
     EXPECT_EQ(watch->status, 200);
 }
 
-TEST(EmulatedState, RefusalOfOneNodeLeavesTheOthersServedAndItsGrantsRunOut) {
+TEST(EmulatedState, RefusalOfOneControllerLeavesTheOthersServedAndItsLeasesExpire) {
     StateWorld w;
     const auto mine = w.one.store_lease(2000);
     ASSERT_EQ(w.one.put("a/one", 1, mine).status, 200);
--- a/tests/epoch_test.cpp
+++ b/tests/epoch_test.cpp
@@ -21,7 +21,7 @@
     return out;
 }
 
-TEST(Owners, EveryTeamHasALiveOwnerAndMovesAreFew) {
+TEST(ShardAssignment, GivesEveryTeamALiveShardOwnerAndMovesFew) {
     holds("assignment", [] {
         const auto ts = teams(*rc::gen::inRange(1, 9));
         std::map<std::string, std::string> before;
@@ -49,7 +49,7 @@
     });
 }
 
-TEST(LeadershipLease, EndsBeforeTheGrantCouldAndNeedsEveryPromise) {
+TEST(LeadershipLease, EndsBeforeTheStoreLeaseCouldAndNeedsEveryVote) {
     LeadershipLease m({"b", "c"});
     EXPECT_FALSE(m.alive(Micros{0}));
     m.renewed(Micros{10'000'000}, kLife);
@@ -302,7 +302,7 @@
     std::set<std::pair<std::string, std::uint64_t>> ever_;
 };
 
-TEST(Membership, NoRemovedLifeKeepsItsMandateWhateverFails) {
+TEST(Membership, NoRemovedIncarnationKeepsItsLeadershipLeaseWhateverFails) {
     holds("crashes, instant restarts, cuts, refusals, outages, late writes", [] {
         World w;
         w.run(150);
@@ -332,7 +332,7 @@
     EXPECT_FALSE(core::plan_epoch(in).has_value()) << "a promise binds";
 }
 
-TEST(Membership, AnUnfitLeaderHandsOver) {
+TEST(Membership, AnUnhealthyLeaderHandsOver) {
     EpochInput in;
     in.self = {"a", 1};
     in.teams = teams(2);
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -39,7 +39,7 @@
     });
 }
 
-TEST(FairShare, AHeavyNodeLeavesLightOnesWhatTheyWant) {
+TEST(FairShare, AHeavyControllerLeavesLightOnesTheirDemand) {
     const auto shares = all_shares({60, 3, 2, 0}, 20);
     EXPECT_DOUBLE_EQ(shares[0], 15);
     EXPECT_DOUBLE_EQ(shares[1], 3);
@@ -47,7 +47,7 @@
     EXPECT_DOUBLE_EQ(shares[3], 0);
 }
 
-TEST(FairShare, WhatNobodyWantsIsSpreadEvenly) {
+TEST(FairShare, CapacityBeyondTheDemandIsSpreadEvenly) {
     const auto shares = all_shares({1, 3}, 10);
     EXPECT_DOUBLE_EQ(shares[0], 4);
     EXPECT_DOUBLE_EQ(shares[1], 6);
--- a/tests/job_table_test.cpp
+++ b/tests/job_table_test.cpp
@@ -190,7 +190,7 @@
     EXPECT_EQ(core::unstarted_tasks(*l.find("req-1"), 50).size(), 50U);
 }
 
-TEST(ClusterView, NewestSessionAndTickWinsAndReleasedMachinesStayGone) {
+TEST(ClusterView, NewestIncarnationAndSequenceWinAndReleasedMachinesStayGone) {
     core::ClusterView p;
     auto r = test::report("n-1", "small", "a");
     r.heartbeat_sequence = 5;
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -35,7 +35,7 @@
 
 // The worker reaches nobody, and its later incarnations are learned from answers to direct commands. Their
 // leases were taken for expired with that of the last answered heartbeat, and tasks were started twice.
-TEST(LeaseOfASession, IsCountedFromTheFirstNewsOfThatSession) {
+TEST(IncarnationLease, IsCountedFromTheFirstHeartbeatOfTheIncarnation) {
     test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
     // Nothing was answered since.
@@ -45,7 +45,7 @@
     EXPECT_TRUE(state.leases.is_expired("n-1", 2, now + 13 * kSecond));
 }
 
-TEST(LeaseOfASession, KnownFromARecordOnlyIsCountedFromWhenTheRecordWasSeen) {
+TEST(IncarnationLease, OfAnIncarnationKnownFromARecordOnlyIsCountedFromWhenTheRecordWasSeen) {
     test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
     state.leases.record_peer_renewal("n-1", now - 30 * kSecond);
@@ -53,7 +53,7 @@
     EXPECT_TRUE(state.leases.is_expired("n-1", 5, now + 13 * kSecond));
 }
 
-TEST(LeaseOfASession, LaterNewsOfItChangesNothing) {
+TEST(IncarnationLease, IsUnchangedByLaterNewsOfTheIncarnation) {
     test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
     for (std::uint64_t sequence = 1; sequence < 4; ++sequence)
@@ -63,7 +63,7 @@
     EXPECT_TRUE(state.leases.is_expired("n-1", 2, now + 13 * kSecond));
 }
 
-TEST(Placement, AMachineWhoseReportsNobodyAnswersTakesNothing) {
+TEST(Placement, AMachineWhoseHeartbeatsAreUnansweredTakesNoTasks) {
     core::ClusterView cluster_view;
     core::JobTable job_table;
     const core::Catalog catalog = test::catalog();
@@ -79,7 +79,7 @@
         core::FreeCapacity::build(cluster_view, job_table, catalog, availability).machines().front().usable);
 }
 
-TEST(ToldCancels, ApplyOnceAndBringNothingBack) {
+TEST(CancellationNotices, AreAppliedOnceAndNeverToANewerReplica) {
     controller::ReplicatedState replicated;
     replicated.job_table().put_job(test::job("req-1", "x", 1, 1), 10);
     replicated.advance_to(12);
@@ -157,7 +157,7 @@
 }
 
 // The owner is told, so it need not wait for others to stop its tasks.
-TEST(OutageAfterCancel, TheOwnerStopsTheTasksAtOnce) {
+TEST(OutageAfterCancel, TheShardOwnerStopsTheTasksAtOnce) {
     Gap gap;
     gap.within = Micros{1'500'000};
     play_gap(gap);
@@ -165,10 +165,10 @@
 TEST(OutageAfterCancel, TasksAreGoneWhenTheOutageComesASecondLater) {
     play_gap({Micros{50'000}, Micros{900'000}, false, false, false});
 }
-TEST(OutageAfterCancel, TasksAreGoneWhenTheCancellerEndsAtOnce) {
+TEST(OutageAfterCancel, TasksAreGoneWhenTheAnsweringControllerCrashesAtOnce) {
     play_gap({Micros{100'000}, Micros{50'000}, true, false, false});
 }
-TEST(OutageAfterCancel, TasksAreGoneWhenTheOwnerHearsNobody) {
+TEST(OutageAfterCancel, TasksAreGoneWhenTheShardOwnerIsPartitioned) {
     play_gap({Micros{100'000}, Micros{50'000}, false, true, false});
 }
 TEST(OutageAfterCancel, AMachineThatHangsIsReleasedInTime) {
--- a/tests/peer_protocol_test.cpp
+++ b/tests/peer_protocol_test.cpp
@@ -90,7 +90,7 @@
     });
 }
 
-TEST(MeshCodec, ReportsComeBackAsTheyWere) {
+TEST(MeshCodec, HeartbeatsComeBackAsTheyWere) {
     wire::WorkerStatusUpdate m;
     m.heartbeat = test::report("n-000001", "small", "a", true);
     m.heartbeat.notice_s = 12.5;
--- a/tests/pipeline_schedule_test.cpp
+++ b/tests/pipeline_schedule_test.cpp
@@ -291,7 +291,7 @@
     EXPECT_EQ(schedule_of(cluster).find("req-1")->due, Micros{301'000'000} - stage) << "1.5 times can be met";
 }
 
-TEST(PipelineSchedule, ACancelledNeedAsksForNothing) {
+TEST(PipelineSchedule, ACancelledDependencyDemandsNothing) {
     Cluster cluster;
     cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);
     cluster.job_table.put_job(ordinary_job("req-2", Priority::best_effort), 1);
@@ -363,7 +363,7 @@
 
 // The wide stage in the middle has a wish for its wait from its release, the last job a deadline: whichever
 // is earlier counts, and the plan's margin alone raises no priority.
-TEST(PipelineQueue, TheEarlierOfOwnWishAndPipelineCounts) {
+TEST(PipelineQueue, TheEarlierDueTimeOfJobAndPipelineCounts) {
     Cluster cluster;
     cluster.objectives = {{"wait", "wide", 40, 0.96, 1}};
     auto wide = ordinary_job("req-1", Priority::best_effort);
@@ -405,7 +405,7 @@
     }
 };
 
-TEST_F(FullMachine, AnInheritedPriorityStopsLowerWork) {
+TEST_F(FullMachine, AnInheritedPriorityPreemptsLowerWork) {
     run(Priority::normal);
     queue(Priority::best_effort);
     EXPECT_TRUE(place().stops.empty());
@@ -433,7 +433,7 @@
     EXPECT_TRUE(place().stops.empty()) << "inherited against inherited";
 }
 
-TEST_F(FullMachine, WorkThatAHighJobNeedsIsNotStoppedForNormalWork) {
+TEST_F(FullMachine, WorkThatAHighJobNeedsIsNotPreemptedForNormalWork) {
     run(Priority::best_effort);
     queue(Priority::normal);
     EXPECT_EQ(place().stops.size(), 1U);
@@ -444,7 +444,7 @@
     EXPECT_EQ(place().stops.size(), 1U);
 }
 
-TEST_F(FullMachine, APipelineWithTimeLeftStopsNobody) {
+TEST_F(FullMachine, APipelineWithTimeLeftPreemptsNobody) {
     run(Priority::normal);
     auto first = ordinary_job("req-2", Priority::best_effort, 1, 4);
     first.accepted = cluster.now - from_seconds(30);
@@ -512,7 +512,7 @@
 
 // ---- Waiting jobs count nowhere.
 
-TEST(DependencyAdmission, CountNowhereInAPlacementPass) {
+TEST(WaitingJobs, CountNowhereInAPlacementPass) {
     holds("the same pass with and without", [] {
         Cluster with = test::draw_cluster();
         Cluster without = with;
@@ -541,7 +541,7 @@
     });
 }
 
-TEST(DependencyAdmission, TakeNoPartOfAGuarantee) {
+TEST(WaitingJobs, TakeNoPartOfAGuarantee) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 4, 24, 0, 0};
     cluster.teams["y"] = {"y", 0, 24, 0, 0};
@@ -562,7 +562,7 @@
 
 // ---- Renting.
 
-TEST(PipelineRenting, AnInheritedDueLeavesLessSlack) {
+TEST(PipelineScaleOut, AnInheritedDueTimeLeavesLessSlack) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 1000, 1000, 0, 0};
     cluster.cluster_view.apply(test::report("n-1", "small", "a"), cluster.now, cluster.now);
@@ -582,7 +582,7 @@
     EXPECT_GT(rented(), alone);
 }
 
-TEST(PipelineRenting, RentsAheadOnlyWhenTold) {
+TEST(PipelineScaleOut, ScalesOutAheadOnlyWhenConfigured) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 1000, 1000, 0, 0};
     run_alone(cluster, ordinary_job("req-1", Priority::best_effort, 1, 4), 1);  // 15 s are left of it
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -331,7 +331,7 @@
 }
 
 // The owner of the waiting job's team ends when the last job that it needs is done; twice in a row.
-TEST(Pipelines, TheNextOwnerReleasesWhatTheLastOneLeftWaiting) {
+TEST(Pipelines, TheNextShardOwnerReleasesWhatTheLastOneLeftWaiting) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
         auto root = submit_endless(s, "req-1", "x");
@@ -498,7 +498,7 @@
 
 // A release gets no answer and is not carried out; the job is cancelled; the release arrives. And a copy of a
 // release that was repeated meanwhile, and of a cancel's writes.
-TEST(Pipelines, LateCopiesOfAReleaseOrOfACascadeChangeNothing) {
+TEST(Pipelines, LateDuplicatesOfAReleaseOrOfACascadeChangeNothing) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
         auto root = submit_endless(s, "req-1", "x");
@@ -549,7 +549,7 @@
 }
 
 // A release, a cascade and a submission are carried out and only their answers are lost.
-TEST(Pipelines, LostAnswersOfTheStateServiceAreMadeGood) {
+TEST(Pipelines, LostAnswersOfTheStateServiceAreRecoveredFrom) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
         auto root = submit_endless(s, "req-1", "x");
@@ -579,7 +579,7 @@
 
 // While a node that doesn't announce waiting jobs is there, nothing that waits is stored; what need not wait
 // is accepted.
-TEST(MixedVersions, NothingWaitsWhileANodeOfAnEarlierVersionIsThere) {
+TEST(MixedVersions, NothingWaitsWhileAControllerOfAnEarlierVersionRuns) {
     Site site{2};
     site.play([](Site& s) -> Task<void> {
         auto root = submit_endless(s, "req-1", "x");
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -57,7 +57,7 @@
     });
 }
 
-TEST(Placement, NeverUsesDrainingMachinesAndCandidatesLast) {
+TEST(Placement, NeverUsesCordonedMachinesAndUsesDrainCandidatesLast) {
     Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
     for (const char* id : {"n-1", "n-2", "n-3"})
@@ -109,7 +109,7 @@
 
 // Each owner filled the capacity that was set free with its own queue, beyond its teams' guarantees, and the
 // owner of a team that was owed it stopped that work again.
-TEST(Placement, WorkBeyondTheGuaranteeLeavesRoomThatAnotherTeamIsOwed) {
+TEST(Placement, WorkBeyondTheGuaranteeLeavesCapacityReservedForAnotherTeamsQuota) {
     Cluster c;
     c.teams["x"] = {"x", 4, 40, 0, 0};
     c.teams["y"] = {"y", 4, 40, 0, 0};
@@ -142,7 +142,7 @@
 }
 
 // On a full fleet the first task of a job that had to begin was stopped as soon as anything else came.
-TEST(Placement, TheFirstTaskOfAnOverdueJobIsStoppedLast) {
+TEST(Placement, TheFirstTaskOfAnOverdueJobIsPreemptedLast) {
     Cluster c;
     c.teams["x"] = {"x", 40, 40, 0, 0};
     core::Revision mod_revision = 0;
@@ -178,7 +178,7 @@
 }
 
 // Work that has missed all its wishes moved behind every newcomer, for as long as newcomers came.
-TEST(Placement, WhatIsLateByAllItsWishesIsNotPassedForEver) {
+TEST(Placement, AJobLateByAllItsObjectivesIsNotStarved) {
     core::JobTable l;
     const std::vector<core::Objective> objectives{{"finished", "c", 100, 0.9, 1},
                                                   {"finished", "c", 300, 0.9, 1}};
@@ -239,7 +239,7 @@
     return {r, chunk};
 }
 
-TEST(Placement, ClearsRoomForProductionAndHoldsIt) {
+TEST(Placement, PreemptsForProductionAndReservesTheCapacity) {
     Cluster c;
     c.teams["x"] = {"x", 4, 24, 0, 0};
     c.teams["y"] = {"y", 4, 24, 0, 0};
@@ -273,7 +273,7 @@
     EXPECT_EQ(out.starts[0].job, "req-2");
 }
 
-TEST(Placement, ATeamWithMoreQueuedThanItsGuaranteeStopsNobody) {
+TEST(Placement, ATeamWithMoreQueuedThanItsGuaranteePreemptsNobody) {
     Cluster c;
     c.teams["x"] = {"x", 0, 24, 0, 0};
     c.teams["y"] = {"y", 4, 24, 0, 0};
@@ -288,7 +288,7 @@
 
 // A team beyond its guarantee but with higher priority, and one within its guarantee, once stopped each
 // other's tasks thousands of times a day.
-TEST(Placement, NoTwoJobsMayEachStopTheOther) {
+TEST(Placement, NoTwoJobsMayEachPreemptTheOther) {
     for (const bool higher_runs : {true, false}) {
         Cluster c;
         c.teams["x"] = {"x", 0, 24, 0, 0};  // beyond its guarantee, with the higher priority
@@ -318,7 +318,7 @@
 
 // Counted to the job's end, as other wishes are, a wish for the start made arrays look late before their
 // time.
-TEST(Queue, AWishForTheWaitEndsWithTheStart) {
+TEST(Queue, AnObjectiveForTheWaitEndsWithTheStart) {
     core::Job j = test::job("req-1", "x", 4, 1);
     j.estimate_s = 20;
     const std::vector<core::Objective> wait{{"wait", "c", 80, 0.9, 1}};
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -190,7 +190,7 @@
     });
 }
 
-TEST(DrainPlanner, HoldsBackWhileAStoppedTaskHasNoPlace) {
+TEST(DrainPlanner, PausesWhileAStoppedTaskHasNoPlace) {
     Cluster c;
     c.cluster_view.apply(test::report("n-1", "small", "a"), c.now, c.now);
     c.cluster_view.apply(test::report("n-2", "small", "a"), c.now, c.now);
@@ -204,7 +204,7 @@
     EXPECT_TRUE(state.candidate_since.empty());
 }
 
-TEST(DrainPlanner, GivesBackTheDearestOfEquals) {
+TEST(DrainPlanner, ScalesInTheMostExpensiveOfEquals) {
     Cluster c;
     c.cluster_view.apply(test::report("n-1", "small", "a", true), c.now, c.now);
     c.cluster_view.apply(test::report("n-2", "small", "a", false), c.now, c.now);
@@ -230,7 +230,7 @@
 }
 
 // One short task is a small part of a machine's time; with no machine at all it once waited for ever.
-TEST(Silence, FewSilentMachinesGoAndManyStay) {
+TEST(UnresponsiveMachines, FewAreReleasedAndManyAreKept) {
     const Micros limit{10'000'000};
     std::vector<core::SilentMachine> machines;
     for (int i = 0; i < 40; ++i) machines.push_back({"n-" + std::to_string(i), Micros{0}, true});
@@ -246,7 +246,7 @@
     EXPECT_TRUE(core::releasable(machines, limit, 0).empty());
 }
 
-TEST(FleetPlanner, RentsForAShortQueueWhenNothingCouldRunIt) {
+TEST(ScaleOutPlanner, ScalesOutForAShortQueueWhenNothingCouldRunIt) {
     Cluster c;
     c.teams["x"] = {"x", 100, 100, 0, 0};
     auto j = test::job("req-1", "x", 1, 1);
@@ -258,7 +258,7 @@
     EXPECT_TRUE(core::plan_scale_out({}, in, c.free_capacity()).empty());
 }
 
-TEST(FleetPlanner, RentsForServicesLessWhatIsBooting) {
+TEST(ScaleOutPlanner, ScalesOutForServicesLessWhatIsBooting) {
     Cluster c;
     c.teams["x"] = {"x", 100, 100, 0, 0};
     auto j = test::job("req-1", "x", 4, 2);
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -57,7 +57,7 @@
 }
 
 // Copies of reports come late, from seconds to well over a lease, and more than once.
-TEST(LateCopies, ChangeNothingThatANewerReportSaid) {
+TEST(StaleHeartbeats, ChangeNothingThatANewerOneSaid) {
     holds("copies in any order", [] {
         const auto history = draw_history("n-1");
         core::ClusterView p;
@@ -94,7 +94,7 @@
     });
 }
 
-TEST(LateCopies, AMachineTakesTasksOnlyOnceItHasAnswered) {
+TEST(StaleHeartbeats, AMachineTakesTasksOnlyOnceItHasAnswered) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
     c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
@@ -130,7 +130,7 @@
     EXPECT_EQ(starts(), 1U);
 }
 
-TEST(LateCopies, MemoryOfReleasedMachinesIsBoundedAndWhatIsForgottenIsNotUsed) {
+TEST(StaleHeartbeats, MemoryOfReleasedMachinesIsBoundedAndWhatIsForgottenIsNotUsed) {
     core::ClusterView p;
     const auto name = [](int i) { return "n-" + std::to_string(100000 + i); };
     const int most = static_cast<int>(core::ReleasedMachines::kMostKept);
@@ -183,7 +183,7 @@
 
 // Another node hears whole reports and short ones; some are lost, some come again. Whatever it believes of a
 // machine's tasks at a tick must be what they were at that tick.
-TEST(PeerMesh, ShortReportsNeverHideAMissedChange) {
+TEST(PeerMesh, KeepAlivesNeverHideAMissedChange) {
     holds("lossy stream of whole and short reports", [] {
         const auto history = draw_history("n-1");
         core::ClusterView source;
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -231,7 +231,7 @@
     core::Revision mod_revision = 0;
 };
 
-TEST(FleetSize, ADarkZoneAndHundredsOfRestartsBreakNoRuleAndLoseNothing) {
+TEST(FleetSize, APartitionedZoneAndHundredsOfRestartsBreakNoRuleAndLoseNothing) {
     std::mt19937 random{20261};
     Fleet f{4'000};
     int jobs = 0;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -127,7 +127,7 @@
 
 // The record came back into the copy of the node that had cancelled the job, after the job's end had been
 // recorded: a user was told of it again, and each group commit of that node that named it failed, for good.
-TEST(Controller, TheLateAnswerToACancelBringsNoJobBack) {
+TEST(Controller, ALateAnswerToACancellationBringsNoJobBack) {
     Site site{1};
     site.world.endless = {"req-1"};
     site.state.answer_after = [](const Json& t) {
@@ -160,7 +160,7 @@
 }
 
 // Whatever made the copy wrong: a conflict that the copy cannot explain has the store read anew.
-TEST(Controller, ACopyThatTheStoreRefutesIsReadAnew) {
+TEST(Controller, AReplicaThatTheStoreRefutesIsReloaded) {
     Site site{1};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -186,7 +186,7 @@
     });
 }
 
-TEST(Controller, AnotherNodeTakesOverWhenTheLeaderIsKilled) {
+TEST(Controller, AnotherControllerTakesOverWhenTheLeaderIsKilled) {
     Site site{3};
     site.world.run_time = Micros{1'500'000};
     site.play([](Site& s) -> Task<void> {
@@ -267,7 +267,7 @@
     });
 }
 
-TEST(Controller, TasksOfASilentMachineRunElsewhereOnlyAfterItsLease) {
+TEST(Controller, TasksOfAnUnresponsiveMachineRunElsewhereOnlyAfterItsLease) {
     Site site{2};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -294,7 +294,7 @@
 
 // A machine that never comes back, and that nobody releases since too many are silent: its last report says
 // that the task runs, and its lease alone shows that it does not.
-TEST(Controller, TasksOfAMachineThatStaysSilentRunElsewhereAfterItsLease) {
+TEST(Controller, TasksOfAMachineThatStaysUnresponsiveRunElsewhereAfterItsLease) {
     Site site{2};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -350,7 +350,7 @@
 
 // After a cut a link may take every byte and deliver none. A peer that takes all and never says that it
 // hears us must be dialled anew.
-TEST(Controller, AMeshLinkThatNobodyConfirmsIsMadeAnew) {
+TEST(Controller, AnUnconfirmedPeerConnectionIsReplaced) {
     Site site{2};
     site.kill(1);
     site.play([](Site& s) -> Task<void> {
@@ -364,7 +364,7 @@
     });
 }
 
-TEST(Controller, ACommitWithoutAnAnswerIsSettledByRepeatingIt) {
+TEST(Controller, ACommitWithoutAnAnswerIsResolvedByRetryingIt) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         {
@@ -389,7 +389,7 @@
 
 // A machine whose reports arrive, but that hears nothing: its lease ends on its own side, its session rises,
 // its reports go on. Its tasks run elsewhere, it gets nothing new, and it is given back.
-TEST(Controller, AOneWayMachineLosesItsTasksGetsNoneAndIsGivenBack) {
+TEST(Controller, AOneWayPartitionedMachineLosesItsTasksGetsNoneAndIsReleased) {
     Site site{2};
     site.kill(0);
     site.kill(1);
@@ -474,7 +474,7 @@
 }
 
 // Workers stay where they are answered: after a restart one node bore the whole fleet's reports for good.
-TEST(Controller, ReportsSpreadOverTheNodes) {
+TEST(Controller, HeartbeatsSpreadOverTheControllers) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
         std::vector<std::unique_ptr<test::WorkerStandIn>> workers;
@@ -492,7 +492,7 @@
 }
 
 // Copies of reports reach a node that has just started, and one that leads anew.
-TEST(Controller, LateCopiesOfReportsBringBackNothing) {
+TEST(Controller, StaleHeartbeatsBringBackNothing) {
     Site site{2};
     site.world.endless = {"req-1"};
     site.play([](Site& s) -> Task<void> {
@@ -546,7 +546,7 @@
 
 // A start that got no answer, was repeated and carried out, may arrive once more: after a reap it would start
 // the task again.
-TEST(Controller, ACopyOfAStartThatArrivesAfterTheEndStartsNothing) {
+TEST(Controller, ADuplicateStartThatArrivesAfterTheExitStartsNothing) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         {
@@ -591,7 +591,7 @@
 
 // The node hears workers only. It falls silent when its node lease ends, its teams get another owner, its
 // workers move on within their leases, and it comes back without help.
-TEST(Controller, ANodeWithNothingButItsWorkersFallsSilentAndComesBack) {
+TEST(Controller, AControllerThatReachesOnlyItsWorkersStopsAnsweringAndRecovers) {
     Site site{3, 0};
     site.world.lease_s = 6;
     site.kill(1);  // the relayed node leads
@@ -658,7 +658,7 @@
 }
 
 // Nodes end and are back at once, one, some or all of them, also while an epoch is being written.
-TEST(Controller, NodesThatAreBackAtOnceLoseNothingAndForgetNothing) {
+TEST(Controller, ControllersThatRestartAtOnceLoseNothingAndForgetNothing) {
     Site site{3};
     site.world.endless = {"req-1"};
     site.world.run_time = Micros{700'000};
@@ -696,7 +696,7 @@
 
 // The first life's write of its own key comes again, late: with it the key would belong to a grant that
 // nobody renews, and vanish under a node that acts.
-TEST(Controller, ALateWriteOfAnEarlierLifesKeyChangesNothing) {
+TEST(Controller, ALateWriteOfAnEarlierIncarnationsKeyChangesNothing) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         std::vector<Json> puts;
@@ -731,7 +731,7 @@
 }
 
 // Thousands of jobs, and a watch that is too old: every node reads the store whole again, and answers.
-TEST(Controller, EveryJobIsKnownOnEveryNodeAfterAReloadOfALargeStore) {
+TEST(Controller, EveryJobIsKnownOnEveryControllerAfterAReloadOfALargeStore) {
     Site site{2};
     site.play([](Site& s) -> Task<void> {
         {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -90,7 +90,7 @@
 }
 
 // Submissions once waited behind the node's own group commits for a share of the store's limit.
-TEST(TokenBucket, UsersGoAheadOfTheNodesOwnWritesWithinLimits) {
+TEST(TokenBucket, UsersGoAheadOfTheControllersOwnWritesWithinLimits) {
     using core::Micros;
     controller::TokenBucket b{10, 10};
     const Micros now{1'000'000};
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -427,9 +427,9 @@
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST(RollingRestart, OneNodeAfterTheOtherInEveryOrderLosesNothing) { roll_in_every_order(1); }
+TEST(RollingRestart, OneControllerAfterTheOtherInEveryOrderLosesNothing) { roll_in_every_order(1); }
 
-TEST(RollingRestart, TwoNodesAtATimeInEveryOrderLosesNothing) { roll_in_every_order(2); }
+TEST(RollingRestart, TwoControllersAtATimeInEveryOrderLosesNothing) { roll_in_every_order(2); }
 
 }  // namespace
 }  // namespace hatchwind
--- a/tests/wire_store_test.cpp
+++ b/tests/wire_store_test.cpp
@@ -85,7 +85,7 @@
     EXPECT_FALSE(wire::parse_page({{"pairs", Json::array()}}).has_value());
 }
 
-TEST(MemberRecords, TellTheLeaseOfALifeAndWhatItsVersionUnderstands) {
+TEST(MemberRecords, HoldTheLeaseOfAnIncarnationAndItsCapabilities) {
     EXPECT_EQ(wire::member_record(7, 3).dump(), R"({"capabilities":3,"grant":7})");
     const core::MemberRecord member = wire::parse_member_record(wire::member_record(7, 3), 41);
     EXPECT_EQ(member.store_lease, 7U);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -94,7 +94,7 @@
     });
 }
 
-TEST(Cbor, DamagedReportsAreRefusedOrRead) {
+TEST(Cbor, DamagedHeartbeatsAreRefusedOrRead) {
     Json task{{"leg", "req-000412/3"}, {"try", 2}, {"status", "running"}};
     const Json good{{"perch", "n-000231"}, {"address", "10.1.0.232:9000"},
                     {"build", "g8"},       {"roost", "a"},
