--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -18,7 +18,10 @@
 
     /// This incarnation: the controller's label and the store lease that it holds; 0 while it holds none.
     const core::Member& self() const { return self_; }
+    /// The label that the settings give this controller, the same in every incarnation.
     const std::string& label() const { return self_.label; }
+    /// True while the leadership lease is certainly alive; alone it does not allow anything: see
+    /// holds_leadership.
     bool lease_alive(core::Micros monotonic_now) const { return lease_.alive(monotonic_now); }
     /// May this incarnation answer workers, send commands and place tasks? Only while its leadership lease is
     /// certainly alive and the epoch names it as a member.
--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,14 +1,15 @@
-/// Whether this controller can serve workers, as it tells its peers.
+/// Whether this controller can serve workers, as it reports to its peers.
 #pragma once
 
 #include "core/model.hpp"
 
 namespace hatchwind::controller {
 
-/// Written by the workers' modules. A controller that is cut from the workers says so, and its shards move.
+/// Written by the workers' modules. A controller that is partitioned from the workers says so, and its shards
+/// move.
 struct LocalHealth {
     bool healthy = true;
-    core::Micros last_worker_contact{0};  // monotonic: a heartbeat, or an answered command
+    core::Micros last_worker_contact{0};  ///< monotonic clock: a heartbeat, or an answered command
 };
 
 }  // namespace hatchwind::controller
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -48,7 +48,10 @@
 
     /// True when a vote for another member's extension is safe. `PeerMesh` then records it.
     bool may_vote_for_extension() const;
+    /// This controller has voted not to remove the member of that label until that time.
     void record_vote_given(const std::string& label, io::Micros until) { protected_until_[label] = until; }
+    /// Applies the cancellations that came with a vote. A vote that was given, in answer to a request that
+    /// still counts, extends the leadership lease.
     void handle_lease_extension_vote(const std::string& from, const wire::LeaseExtensionVote& vote);
 
   private:
--- a/src/cluster/peer_directory.hpp
+++ b/src/cluster/peer_directory.hpp
@@ -11,19 +11,23 @@
 
 namespace hatchwind::controller {
 
+/// The last heartbeat of one peer.
 struct PeerStatus {
     wire::PeerHeartbeat heartbeat;
-    core::Micros received_at{0};  // monotonic; 0: never
+    core::Micros received_at{0};  ///< monotonic clock; 0: never
 };
 
-/// Holds every configured peer from the start. Written by PeerMesh as heartbeats come in.
+/// Holds every configured peer from the start. Written by PeerMessageHandler as heartbeats come in.
 class PeerDirectory {
   public:
+    /// By label.
     using Peers = std::map<std::string, PeerStatus>;
 
     explicit PeerDirectory(const Settings& settings);
 
+    /// Every configured peer, with or without a heartbeat.
     const Peers& all() const { return peers_; }
+    /// Number of configured peers; this controller is none of them.
     std::size_t size() const { return peers_.size(); }
     /// Null: no peer of that label is configured.
     const PeerStatus* find(const std::string& label) const;
@@ -37,6 +41,7 @@
 
     /// False for one that is older than the last: a held connection may deliver old ones after newer.
     bool is_newer(const std::string& label, const wire::PeerHeartbeat& heartbeat) const;
+    /// Keeps the heartbeat as the last one of the peer. The caller has checked that it is newer.
     void record(const std::string& label, wire::PeerHeartbeat heartbeat, core::Micros monotonic_now);
 
   private:
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -38,6 +38,8 @@
 
 namespace hatchwind::controller {
 
+/// One process has one; the simulator and the tests run several in one loop. It owns all its state and
+/// duties, and ends them in reverse order when it is destroyed.
 class Controller {
   public:
     Controller(io::Loop& loop, Settings settings, const Tunables& tunables);
--- a/src/core/fair_share_ranking.hpp
+++ b/src/core/fair_share_ranking.hpp
@@ -14,6 +14,7 @@
 /// equals. A job preempts only what ranks lower. Were priority alone and quota alone each enough, two teams
 /// with one each would preempt one another's tasks for ever.
 struct PreemptionRank {
+    /// In ascending order.
     enum class Tier : std::uint8_t { beyond_quota, within_quota, production };
     Tier tier = Tier::beyond_quota;
     Priority priority = Priority::best_effort;
--- a/src/core/free_capacity.hpp
+++ b/src/core/free_capacity.hpp
@@ -33,7 +33,9 @@
 
     /// Used part of its CPUs.
     double use() const { return type->size.cpus <= 0 ? 0 : 1 - free.cpus / type->size.cpus; }
+    /// Price of the machine, in the unit of MachineType::price.
     double price() const { return spot ? type->spot_price : type->price; }
+    /// The machine has reported that its cache holds the image.
     bool has_image(const std::string& image) const { return view != nullptr && view->images.contains(image); }
 };
 
@@ -51,6 +53,7 @@
 /// What recorded attempts use on each machine, as it was last built. A placement pass builds the free
 /// capacity anew, and most machines are as they were in the pass before.
 struct FreeCapacityCache {
+    /// What recorded attempts use on one machine, with the versions of what it was computed from.
     struct Use {
         std::string machine;
         std::uint64_t incarnation = 0;
@@ -64,8 +67,10 @@
     std::vector<MachineCapacity> spare_machines;
 };
 
+/// The working copy: machines with what is free on them, and a log of changes by which trials are reverted.
 class FreeCapacity {
   public:
+    /// The position of a machine that is not there.
     static constexpr std::size_t npos = static_cast<std::size_t>(-1);
 
     /// Machines of the cluster view whose type is in the catalog, in order of their ids. `cache` may be null;
@@ -74,7 +79,9 @@
                               const Catalog& catalog, const Availability& availability,
                               FreeCapacityCache* cache = nullptr);
 
+    /// To be changed by take and give only, as far as `free` goes: changes made directly cannot be reverted.
     std::vector<MachineCapacity>& machines() { return machines_; }
+    /// In order of their ids, but for those that `add` put behind.
     const std::vector<MachineCapacity>& machines() const { return machines_; }
     /// Position of the machine in machines(); npos when it is not there.
     std::size_t at(const std::string& id) const;
@@ -86,10 +93,13 @@
     /// Leaves its memory to the next pass; it is empty afterwards.
     void recycle(FreeCapacityCache& cache);
 
+    /// Subtracts the resources from what is free on the machine at that position of machines().
     void take(std::size_t position, const Resources& resources);
+    /// Adds the resources to what is free on the machine at that position of machines().
     void give(std::size_t position, const Resources& resources);
     /// Trials nest: revert(mark()) undoes all that was taken or given since. Added machines stay.
     std::size_t mark() const { return changes_.size(); }
+    /// Undoes all changes since that mark().
     void revert(std::size_t mark);
 
   private:
@@ -116,10 +126,12 @@
     static ZoneUse of(const JobEntry& entry, const FreeCapacity& capacity);
     /// One more task of the job may run in the zone.
     bool allows(const Job& job, const std::string& zone) const;
+    /// One more task runs in the zone.
     void add(const std::string& zone) {
         ++by_zone[zone];
         ++total;
     }
+    /// One task less runs in the zone.
     void remove(const std::string& zone) {
         --by_zone[zone];
         --total;
@@ -138,6 +150,7 @@
 /// What decides where a job's tasks may go, the zones of its other tasks apart.
 using Shape = std::tuple<double, double, double, bool, std::optional<std::string>,
                          std::optional<std::vector<std::string>>>;
+/// The job's shape.
 inline Shape shape(const Job& job) {
     return {job.resources.cpus, job.resources.gpus, job.resources.memory_gb, job.spot, job.zone, job.types};
 }
--- a/src/core/instance.hpp
+++ b/src/core/instance.hpp
@@ -6,6 +6,7 @@
 
 namespace hatchwind::core {
 
+/// What the cloud says of an instance.
 enum class InstanceState : std::uint8_t { booting, running, failed };
 
 /// One instance of the cloud's inventory. Its machine is known to the cluster view only once its worker has
--- a/src/core/job.hpp
+++ b/src/core/job.hpp
@@ -61,12 +61,14 @@
     /// version that wrote them when this one rewrites the record.
     std::string unknown_fields;
 
+    /// True until the jobs that it depends on are done.
     bool waiting() const { return team == kWaitingTeam; }
     /// A waiting job always has a dependency: with an empty list its dependencies are not known here, and it
     /// must not be released.
     bool dependencies_known() const { return !dependencies.empty(); }
     /// How many of its tasks may run in one zone.
     std::uint32_t zone_cap() const { return spread ? (tasks + 1) / 2 : tasks; }
+    /// Its tasks may run on machines of that type.
     bool allows_type(const std::string& type) const {
         return !types || std::find(types->begin(), types->end(), type) != types->end();
     }
--- a/src/core/pipeline_schedule.hpp
+++ b/src/core/pipeline_schedule.hpp
@@ -50,6 +50,7 @@
 
     /// Null for a job without dependents.
     const InheritedDemand* find(const std::string& job) const;
+    /// What jobs inherit from their dependents, by job.
     const std::unordered_map<std::string, InheritedDemand>& demands() const { return demands_; }
     /// The waiting jobs that can still be released and whose dependencies are known.
     const std::vector<UpcomingRelease>& upcoming() const { return upcoming_; }
--- a/src/core/range_set.hpp
+++ b/src/core/range_set.hpp
@@ -10,6 +10,7 @@
 /// Ascending, disjoint ranges that do not touch one another.
 class RangeSet {
   public:
+    /// True when one of the ranges has the value.
     bool contains(std::uint32_t value) const {
         auto it = ranges_.upper_bound(value);
         return it != ranges_.begin() && std::prev(it)->second >= value;
--- a/src/core/released_machines.hpp
+++ b/src/core/released_machines.hpp
@@ -13,6 +13,7 @@
 
 namespace hatchwind::core {
 
+/// A list bounded in time and number, with an index by id.
 class ReleasedMachines {
   public:
     /// How long an id is kept: messages may be minutes late. A machine whose id was dropped may come back as
@@ -30,6 +31,7 @@
 
     /// False when the machine is known as released already; its time is left as it was.
     bool add(const std::string& machine, Micros monotonic_now);
+    /// True while the machine is kept as released.
     bool contains(const std::string& machine) const { return ids_.contains(machine); }
     /// The machines from that position on that are still kept, at most `limit` of them. Positions count from
     /// 0, within one run of this controller.
--- a/src/core/resources.hpp
+++ b/src/core/resources.hpp
@@ -12,18 +12,21 @@
     double gpus = 0;       ///< devices
     double memory_gb = 0;  ///< gigabytes
 
+    /// Adds each amount.
     Resources& operator+=(const Resources& other) {
         cpus += other.cpus;
         gpus += other.gpus;
         memory_gb += other.memory_gb;
         return *this;
     }
+    /// Subtracts each amount.
     Resources& operator-=(const Resources& other) {
         cpus -= other.cpus;
         gpus -= other.gpus;
         memory_gb -= other.memory_gb;
         return *this;
     }
+    /// Each amount times the factor.
     friend Resources operator*(Resources amount, double factor) {
         return {amount.cpus * factor, amount.gpus * factor, amount.memory_gb * factor};
     }
--- a/src/core/worker_protocol.hpp
+++ b/src/core/worker_protocol.hpp
@@ -1,5 +1,5 @@
-/// What workers and controllers tell one another: heartbeats with the status of each task, and commands.
-/// The wire names are those of `wire/messages`.
+/// What workers and controllers send one another: heartbeats with the status of each task, and commands.
+/// The wire names are those of `wire/field_names.hpp`.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
     fetching,  ///< its image is being fetched
     waiting,   ///< for the other tasks of its gang
     running,
-    saving,  ///< told to stop, and writing its checkpoint
+    saving,  ///< received a stop, and writes its checkpoint
     exited,  ///< listed until the controller acknowledges the exit
 };
 
@@ -56,6 +56,7 @@
     std::vector<TaskStatus> tasks;
 };
 
+/// What a worker is to do with an attempt.
 enum class CommandKind : std::uint8_t { start, stop, acknowledge_exit };
 
 /// A command about one attempt.
--- a/src/mesh/peer_heartbeats.hpp
+++ b/src/mesh/peer_heartbeats.hpp
@@ -33,6 +33,7 @@
     WriteShare& write_share;
 };
 
+/// The duty that reports to every connected peer, about twice a second.
 class PeerHeartbeats {
   public:
     explicit PeerHeartbeats(const PeerHeartbeatContext& context) : context_(context) {}
--- a/src/mesh/peer_mesh.hpp
+++ b/src/mesh/peer_mesh.hpp
@@ -14,6 +14,7 @@
 
 namespace hatchwind::controller {
 
+/// Keeps the connections, frames what is queued in PeerLinks, and hands what arrives to PeerMessageHandler.
 class PeerMesh {
   public:
     PeerMesh(io::Loop& loop, const Settings& settings, const WorkerStatus& workers, PeerLinks& links,
--- a/src/mesh/peer_message_handler.hpp
+++ b/src/mesh/peer_message_handler.hpp
@@ -31,6 +31,8 @@
     WriteShare& write_share;
 };
 
+/// Applies each message to the state that it concerns. Only messages that come after a valid handshake get
+/// here.
 class PeerMessageHandler {
   public:
     explicit PeerMessageHandler(const PeerMessageContext& context) : context_(context) {}
--- a/src/wire/cbor.hpp
+++ b/src/wire/cbor.hpp
@@ -11,6 +11,7 @@
 
 namespace hatchwind::wire {
 
+/// A decoded message, or one to be encoded.
 using Json = nlohmann::json;
 
 /// The value that the body holds. Nothing for input that is malformed, nested too deeply or holds binary
--- a/src/wire/decoded.hpp
+++ b/src/wire/decoded.hpp
@@ -26,15 +26,23 @@
     Decoded(T value) : result_(std::in_place_index<0>, std::move(value)) {}  // implicit, as for optional
     Decoded(DecodeError error) : result_(std::in_place_index<1>, error) {}   // implicit, to return errors
 
+    /// True when decoding succeeded.
     bool has_value() const { return result_.index() == 0; }
+    /// As has_value.
     explicit operator bool() const { return has_value(); }
 
+    /// The value. Requires has_value, as do the other accessors of it.
     const T& operator*() const& { return std::get<0>(result_); }
+    /// The value, to be changed.
     T& operator*() & { return std::get<0>(result_); }
+    /// The value, moved out of a temporary.
     T&& operator*() && { return std::get<0>(std::move(result_)); }
+    /// Access to members of the value.
     const T* operator->() const { return &std::get<0>(result_); }
+    /// Access to members of the value, to be changed.
     T* operator->() { return &std::get<0>(result_); }
 
+    /// Why there is no value. Requires that there is none.
     const DecodeError& error() const { return std::get<1>(result_); }
 
     /// The value alone, for callers that treat every error alike.
--- a/src/wire/field_reader.hpp
+++ b/src/wire/field_reader.hpp
@@ -29,20 +29,25 @@
     /// A finite number from `least` to `most`.
     double number(const char* field, double least = std::numeric_limits<double>::lowest(),
                   double most = std::numeric_limits<double>::max());
+    /// True or false.
     bool flag(const char* field);
     /// A list of anything; an empty one after an error.
     const Json& list(const char* field);
+    /// A list of nothing but texts.
     std::vector<std::string> text_list(const char* field);
 
     /// Nothing for a field that is missing or null; of another type it is an error.
     std::optional<std::string> optional_text(const char* field);
+    /// A finite number from `least` to `most`, or nothing as above.
     std::optional<double> optional_number(const char* field,
                                           double least = std::numeric_limits<double>::lowest(),
                                           double most = std::numeric_limits<double>::max());
+    /// A list of nothing but texts, or nothing as above.
     std::optional<std::vector<std::string>> optional_text_list(const char* field);
 
     /// Records what a decoder itself finds wrong with a field.
     void fail(const char* field, const char* expected);
+    /// True once a field was wrong.
     bool failed() const { return error_.has_value(); }
 
     /// The value, unless a field was wrong.
