--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,15 +1,17 @@
-/// Whether this controller can serve workers, as it reports to its peers.
+/// Whether this controller can serve workers, as it tells its peers.
 #pragma once
 
-#include "core/model.hpp"
-
 namespace hatchwind::controller {
 
-/// Written by the workers' modules. A controller that is partitioned from the workers says so, and its shards
-/// move.
-struct LocalHealth {
-    bool healthy = true;
-    core::Micros last_worker_contact{0};  ///< monotonic clock: a heartbeat, or an answered command
+/// Written by `ReachabilityMonitor` alone. A controller that is partitioned from the workers is unhealthy,
+/// and its shards move to others.
+class LocalHealth {
+  public:
+    bool is_healthy() const { return healthy_; }
+    void set_healthy(bool healthy) { healthy_ = healthy; }
+
+  private:
+    bool healthy_ = true;
 };
 
 }  // namespace hatchwind::controller
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -173,7 +173,7 @@
     for (const auto& [label, peer] : context_.peers.all()) {
         if (context_.peers.is_fresh(label, now) && !peer.heartbeat.healthy) input.unhealthy.insert(label);
     }
-    if (!context_.health.healthy) input.unhealthy.insert(self.label);
+    if (!context_.health.is_healthy()) input.unhealthy.insert(self.label);
     for (const auto& [label, until] : protected_until_) {
         if (until > now) input.protected_members.insert(label);
     }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -36,7 +36,7 @@
       worker_http_(loop, kIdleWorkerConnections, settings_.max_connections / 4),
       cloud_http_(loop, kIdleCloudConnections),
       leases_(settings_, replicated_, peers_, leadership_),
-      workers_({settings_, replicated_, catalog_, leases_, probes_, health_, links_, signals_, worker_http_}),
+      workers_({settings_, replicated_, catalog_, leases_, probes_, links_, signals_, worker_http_}),
       replica_(loop, settings_, tunables_, store_, replicated_, signals_),
       membership_({loop, settings_, tunables_, replicated_, peers_, health_, store_, replica_, signals_,
                    leadership_, links_}),
--- a/src/mesh/peer_heartbeats.cpp
+++ b/src/mesh/peer_heartbeats.cpp
@@ -18,7 +18,7 @@
 
 std::vector<std::string> PeerHeartbeats::unanswering_machines() const {
     std::vector<std::string> machines;
-    if (!context_.health.healthy) return machines;
+    if (!context_.health.is_healthy()) return machines;
     for (const auto& [machine, state] : context_.probes.states()) {
         if (ReachabilityProbes::is_unanswered_for(state, kUnansweredFor, steady_now()))
             machines.push_back(machine);
@@ -34,7 +34,7 @@
     heartbeat.store_lease = leadership.self().store_lease;
     heartbeat.epoch = replicated.epoch().number;
     heartbeat.state_ok = context_.store.reachable(steady_now());
-    heartbeat.healthy = context_.health.healthy;
+    heartbeat.healthy = context_.health.is_healthy();
     heartbeat.holds_leadership = leadership.holds_leadership();
     heartbeat.revision = replicated.revision();
     heartbeat.capabilities = core::kCapabilities;
--- a/src/scaling/scale_in.cpp
+++ b/src/scaling/scale_in.cpp
@@ -55,7 +55,7 @@
     const Micros silent = now - view.last_heartbeat_at;
     // One that only sends is as good as silent: nothing can be started or stopped on it.
     const ProbeState* probe = probes_.find(machine);
-    if (!health_.healthy || probe == nullptr || probe->unanswered_since.count() == 0) return silent;
+    if (!health_.is_healthy() || probe == nullptr || probe->unanswered_since.count() == 0) return silent;
     return std::max(silent, now - probe->unanswered_since);
 }
 
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -20,19 +20,19 @@
 }  // namespace
 
 void CommandSender::forget_earlier_epochs() {
-    const std::uint64_t epoch = context_.replicated.epoch().number;
-    if (unanswered_epoch_ == epoch) return;
-    unanswered_epoch_ = epoch;
+    const std::uint64_t epoch = epoch_number();
+    if (oldest_unanswered_epoch_ == epoch) return;
+    oldest_unanswered_epoch_ = epoch;
     std::erase_if(unanswered_starts_, [&](const auto& start) { return start.second.epoch < epoch; });
 }
 
 void CommandSender::enqueue(const std::string& machine, std::uint64_t incarnation,
                             core::WorkerCommand command) {
     forget_earlier_epochs();
-    const std::uint64_t epoch = context_.replicated.epoch().number;
+    const std::uint64_t epoch = epoch_number();
     CommandQueue& queue = queues_[machine];
     if (queue.incarnation != incarnation || queue.epoch != epoch) {
-        // Commands die with the incarnation they were meant for, and with the epoch they were given in.
+        // Commands end with the incarnation that they were meant for, and with the epoch they were issued in.
         resolve_start_copies(queue.commands, queue.epoch);
         queue.commands.clear();
         queue.incarnation = incarnation;
@@ -48,12 +48,12 @@
 
 bool CommandSender::start_pending(const std::string& job, std::uint32_t task, std::uint64_t attempt) const {
     const auto start = unanswered_starts_.find({job, task, attempt});
-    return start != unanswered_starts_.end() && start->second.epoch == context_.replicated.epoch().number;
+    return start != unanswered_starts_.end() && start->second.epoch == epoch_number();
 }
 
 void CommandSender::count_start(const core::WorkerCommand& command) {
     if (command.kind != core::CommandKind::start) return;
-    const std::uint64_t epoch = context_.replicated.epoch().number;
+    const std::uint64_t epoch = epoch_number();
     UnansweredStart& start = unanswered_starts_[{command.job, command.task, command.attempt}];
     if (start.epoch != epoch) start = {epoch, 0};
     ++start.copies;
@@ -76,22 +76,22 @@
                                  const io::HttpReply& reply) {
     // A conflict is a higher fencing token or another incarnation: refused, but answered.
     const bool answered = reply.status == io::http_status::kOk || reply.status == io::http_status::kConflict;
-    // One copy of each: another one that got no answer may still arrive.
+    // This copy of each: another one that got no answer may still arrive.
     if (answered || reply.never_sent) resolve_start_copies(commands, epoch);
     if (answered) {
         context_.workers.handle_response_body(reply.body);
         context_.signals.scheduling_needed.notify_all();
         return;
     }
-    // Without a socket of this controller's own the machine was not asked: banned for that, live machines of
-    // a large fleet got nothing after a failover.
+    // Without a free socket of this controller's own the machine was not asked: banned for that, live
+    // machines of a large fleet got no tasks after a failover.
     if (!reply.pool_exhausted) context_.probes.record_unanswered(machine, steady_now());
     spdlog::debug("event=command_unanswered machine={} status={} commands={}", machine, reply.status,
                   commands.size());
 }
 
 Task<void> CommandSender::send(std::string machine) {
-    // Commands of the same turn go out together.
+    // Commands of the same turn of the loop go out together.
     co_await context_.loop.yield();
     while (true) {
         auto queue = queues_.find(machine);
@@ -99,7 +99,7 @@
         const core::MachineView* view = context_.workers.cluster_view().find(machine);
         const auto address = view == nullptr ? std::nullopt : io::parse_address(view->last_heartbeat.address);
         if (queue->second.commands.empty() || !address || !context_.leadership.holds_leadership()) {
-            // Never sent, so nothing of them can be under way.
+            // Never sent, so no copy of them can arrive.
             resolve_start_copies(queue->second.commands, queue->second.epoch);
             queues_.erase(queue);
             co_return;
--- a/src/workers/command_sender.hpp
+++ b/src/workers/command_sender.hpp
@@ -1,10 +1,14 @@
-/// Sends commands straight to workers: one queue for each machine, commands of the same turn together.
+/// Sends commands to workers: one queue for each machine, commands of the same turn of the loop in one
+/// request.
+///
+/// Owns the queues and the record of starts without an answer. Both are memory only and end with their epoch
+/// and the worker's incarnation: reconciliation sends again what is recorded and not seen.
 #pragma once
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <string>
-#include <tuple>
 #include <unordered_map>
 #include <vector>
 
@@ -31,12 +35,13 @@
     io::HttpClient& worker_http;
 };
 
+/// Commands are sent only while this controller holds its leadership lease.
 class CommandSender {
   public:
     explicit CommandSender(const CommandSenderContext& context) : context_(context) {}
 
-    /// Queues a command. Only ever for attempts that are recorded. A command beyond the queue's bound is
-    /// dropped; whoever wants it repeats it.
+    /// Queues a command for that incarnation of the machine's worker. The attempt must be recorded in the
+    /// store. A command beyond the queue's bound is dropped; reconciliation repeats it.
     void enqueue(const std::string& machine, std::uint64_t incarnation, core::WorkerCommand command);
     /// True while a copy of this attempt's start, sent under the current epoch, may still be under way: then
     /// the acknowledgement of its exit could be followed by a second start.
@@ -49,28 +54,36 @@
         std::vector<core::WorkerCommand> commands;
         bool sending = false;
     };
-    /// Copies of a start that were sent under an epoch and not answered. Each of them may still arrive: one
-    /// that came after the exit was acknowledged would start the task again.
+    /// Sendings of one start under an epoch that were not answered. Each of them may still arrive: one that
+    /// came after the exit was acknowledged would start the task again.
     struct UnansweredStart {
         std::uint64_t epoch = 0;
         std::uint32_t copies = 0;
     };
-    using AttemptKey = std::tuple<std::string, std::uint32_t, std::uint64_t>;
+    struct AttemptKey {
+        std::string job;
+        std::uint32_t task = 0;
+        std::uint64_t attempt = 0;
 
+        friend auto operator<=>(const AttemptKey&, const AttemptKey&) = default;
+    };
+
+    std::uint64_t epoch_number() const { return context_.replicated.epoch().number; }
+    /// Sends the machine's queue until it is empty, or nothing may be sent any more.
     io::Task<void> send(std::string machine);
     void handle_reply(const std::string& machine, std::uint64_t epoch,
                       const std::vector<core::WorkerCommand>& commands, const io::HttpReply& reply);
     void count_start(const core::WorkerCommand& command);
-    /// One copy of the start can't arrive any more.
+    /// One copy of a start that was sent under that epoch can't arrive any more.
     void resolve_start_copy(const core::WorkerCommand& command, std::uint64_t epoch);
     void resolve_start_copies(const std::vector<core::WorkerCommand>& commands, std::uint64_t epoch);
-    /// Starts of earlier epochs are void and need not be remembered.
+    /// Workers refuse starts of earlier epochs, which so need not be remembered.
     void forget_earlier_epochs();
 
     const CommandSenderContext context_;
     std::map<std::string, CommandQueue> queues_;  // by machine
     std::map<AttemptKey, UnansweredStart> unanswered_starts_;
-    std::uint64_t unanswered_epoch_ = 0;  // no entry is older
+    std::uint64_t oldest_unanswered_epoch_ = 0;  // no entry is of an earlier epoch
 };
 
 }  // namespace hatchwind::controller
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 constexpr Micros kLoadInterval{1'000'000};
-constexpr std::size_t kLoadSlackParts = 4;  // a quarter above the even share, and some
+// Tolerated above the even share: a quarter of it, and some workers.
+constexpr std::size_t kLoadSlackDivisor = 4;
 constexpr std::size_t kLoadSlackWorkers = 4;
 constexpr Micros kFullRedirectTime{20'000'000};  // a twentieth of the workers in a second
 }  // namespace
@@ -25,56 +26,61 @@
     return peers_.healthy_members(replicated_.epoch(), leadership_.label(), steady_now());
 }
 
-std::string HeartbeatBalancer::next_healthy_member() {
+std::optional<std::string> HeartbeatBalancer::next_healthy_member() {
     const auto members = healthy_members();
-    return members.empty() ? std::string{} : members[next_turn_++ % members.size()];
+    if (members.empty()) return std::nullopt;
+    return members[next_turn_++ % members.size()];
 }
 
-void HeartbeatBalancer::refresh_loads(Micros now) {
-    if (now - loads_read_at_ <= kLoadInterval) return;
-    loads_read_at_ = now;
+void HeartbeatBalancer::refresh_loads(Micros monotonic_now) {
+    if (monotonic_now - loads_read_at_ <= kLoadInterval) return;
+    loads_read_at_ = monotonic_now;
     own_load_ = leases_.assigned_count();
-    loads_.clear();
-    for (const auto& label : healthy_members()) loads_[label] = peers_.find(label)->heartbeat.workers;
+    peer_loads_.clear();
+    for (const auto& label : healthy_members()) peer_loads_[label] = peers_.find(label)->heartbeat.workers;
 }
 
-std::string HeartbeatBalancer::less_loaded_member() {
+std::optional<std::string> HeartbeatBalancer::less_loaded_member() {
     const Micros now = steady_now();
-    if (now < next_redirect_) return {};
+    if (now < next_redirect_at_) return std::nullopt;
     refresh_loads(now);
-    std::size_t all = own_load_;
-    for (const auto& [label, load] : loads_) all += load;
-    const std::size_t even_share = all / (loads_.size() + 1);
-    const std::size_t bearable = even_share + even_share / kLoadSlackParts + kLoadSlackWorkers;
-    const auto least = std::min_element(loads_.begin(), loads_.end(),
-                                        [](const auto& a, const auto& b) { return a.second < b.second; });
-    if (least == loads_.end() || own_load_ <= bearable || least->second >= even_share) return {};
-    next_redirect_ = now + kFullRedirectTime / static_cast<std::int64_t>(own_load_);
+    std::size_t total_load = own_load_;
+    for (const auto& [label, load] : peer_loads_) total_load += load;
+    const std::size_t even_share = total_load / (peer_loads_.size() + 1);
+    const std::size_t tolerated_load = even_share + even_share / kLoadSlackDivisor + kLoadSlackWorkers;
+    const auto least_loaded =
+        std::min_element(peer_loads_.begin(), peer_loads_.end(),
+                         [](const auto& left, const auto& right) { return left.second < right.second; });
+    if (least_loaded == peer_loads_.end() || own_load_ <= tolerated_load ||
+        least_loaded->second >= even_share) {
+        return std::nullopt;
+    }
+    next_redirect_at_ = now + kFullRedirectTime / static_cast<std::int64_t>(own_load_);
     --own_load_;
-    ++least->second;
-    return least->first;
+    ++least_loaded->second;
+    return least_loaded->first;
 }
 
-HttpResponse HeartbeatHandler::redirect_to(const std::string& label) {
+HttpResponse HeartbeatHandler::redirect_to(const std::optional<std::string>& member) {
     return io::response_with_body(io::http_status::kMisdirectedRequest,
-                                  wire::encode(wire::redirect_response(label)));
+                                  wire::encode(wire::redirect_response(member.value_or(""))));
 }
 
 HttpResponse HeartbeatHandler::handle(const std::string& body) {
     const auto decoded = wire::decode(body);
     auto heartbeat = decoded ? wire::parse_worker_heartbeat(*decoded).optional() : std::nullopt;
     if (!heartbeat) {
-        ++malformed_;
-        spdlog::warn("event=malformed_heartbeat count={}", malformed_);
+        ++malformed_heartbeats_;
+        spdlog::warn("event=malformed_heartbeat count={}", malformed_heartbeats_);
         return io::plain_response(io::http_status::kBadRequest);
     }
     const std::uint64_t epoch = replicated_.epoch().number;
-    // Not entitled, or behind the epoch that the worker has heard of: an answer would keep the worker here
-    // while its lease runs out.
+    // A controller that may not act, or is behind the epoch that the worker knows of, can't renew the lease:
+    // an answer would keep the worker here until its lease has expired.
     if (!leadership_.holds_leadership() || heartbeat->fencing_token > epoch) {
         return redirect_to(balancer_.next_healthy_member());
     }
-    if (const std::string member = balancer_.less_loaded_member(); !member.empty()) {
+    if (const auto member = balancer_.less_loaded_member()) {
         leases_.unassign(heartbeat->machine);
         return redirect_to(member);
     }
--- a/src/workers/heartbeat_handler.hpp
+++ b/src/workers/heartbeat_handler.hpp
@@ -1,8 +1,11 @@
-/// Answers workers' heartbeats: renews the lease, or names another controller that the worker should go to.
+/// Answers workers' heartbeats: renews the lease, or redirects the worker to another controller.
+///
+/// Owns only the state of the load balancing; leases and statuses are written through their modules.
 #pragma once
 
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -15,8 +18,9 @@
 
 namespace hatchwind::controller {
 
-/// Spreads the workers over the controllers. They stay where they are answered, so after a restart or a cut
-/// one controller would bear the fleet's heartbeats for good: a few a second move, and the rest never notice.
+/// Spreads the workers over the controllers. They stay where they are answered, so after a restart or a
+/// partition one controller would bear the heartbeats of the whole fleet for good: a few a second are
+/// redirected.
 class HeartbeatBalancer {
   public:
     HeartbeatBalancer(const ReplicatedState& replicated, const Leadership& leadership,
@@ -25,27 +29,29 @@
 
     /// Members that can serve workers, this controller apart.
     std::vector<std::string> healthy_members() const;
-    /// One of them, in turn: when a controller falls silent, whoever comes first in the list would bear all
-    /// its workers. Empty when there is none.
-    std::string next_healthy_member();
-    /// Where a worker should report instead, when this controller bears far more of them than its share;
-    /// empty when it should stay.
-    std::string less_loaded_member();
+    /// One of them, in turn: when a controller fails, the first of the list would otherwise bear all of its
+    /// workers. Nothing when there is none.
+    std::optional<std::string> next_healthy_member();
+    /// The member that a worker should be redirected to, when this controller bears far more workers than its
+    /// even share; nothing when the worker should stay. Each call that names one counts as a redirect.
+    std::optional<std::string> less_loaded_member();
 
   private:
-    void refresh_loads(core::Micros now);
+    /// Reads the loads anew, at most once in a while: redirects in between are counted in.
+    void refresh_loads(core::Micros monotonic_now);
 
     const ReplicatedState& replicated_;
     const Leadership& leadership_;
     const PeerDirectory& peers_;
     WorkerLeases& leases_;
     std::size_t next_turn_ = 0;
-    core::Micros loads_read_at_{0};             // monotonic
-    core::Micros next_redirect_{0};             // monotonic: when the next worker may be sent away
-    std::size_t own_load_ = 0;                  // workers of this controller
-    std::map<std::string, std::size_t> loads_;  // of the other members
+    core::Micros loads_read_at_{0};                  // monotonic
+    core::Micros next_redirect_at_{0};               // monotonic
+    std::size_t own_load_ = 0;                       // workers of this controller
+    std::map<std::string, std::size_t> peer_loads_;  // workers of the other healthy members
 };
 
+/// The `/hello` request of a worker.
 class HeartbeatHandler {
   public:
     HeartbeatHandler(const ReplicatedState& replicated, const Leadership& leadership,
@@ -56,21 +62,22 @@
           workers_(workers),
           balancer_(replicated, leadership, peers, leases) {}
 
-    /// 200 renews the lease; 421 names another controller; 400 for a body that can't be read.
+    /// 200 renews the lease; 421 names another controller; 400 for a body that can't be decoded.
     io::HttpResponse handle(const std::string& body);
 
   private:
-    /// Whoever renews a worker's lease stops its cancelled tasks: their shard owner may be out of reach.
-    /// Stops need no record, and unlike starts they do no harm when they are repeated or late.
+    /// Whichever controller renews a worker's lease stops its cancelled tasks: their shard owner may be out
+    /// of reach. Stops need no record, and unlike starts they do no harm when they are repeated or late.
     std::vector<core::WorkerCommand> stops_for_cancelled(const core::WorkerHeartbeat& heartbeat) const;
-    static io::HttpResponse redirect_to(const std::string& label);
+    /// Without a member the worker chooses another controller itself.
+    static io::HttpResponse redirect_to(const std::optional<std::string>& member);
 
     const ReplicatedState& replicated_;
     const Leadership& leadership_;
     WorkerLeases& leases_;
     WorkerStatus& workers_;
     HeartbeatBalancer balancer_;
-    std::uint64_t malformed_ = 0;
+    std::uint64_t malformed_heartbeats_ = 0;
 };
 
 }  // namespace hatchwind::controller
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -16,62 +16,61 @@
 
 namespace {
 constexpr std::size_t kMinConcurrentProbes = 32;
-constexpr std::size_t kFleetPartProbed = 8;
+constexpr std::size_t kFleetFractionProbed = 8;  // an eighth of the fleet at a time
 constexpr Micros kProbeCheckInterval{200'000};
 constexpr Micros kProbeTimeout{1'500'000};
-constexpr Micros kProbeUnderWay{2'000'000};  // not asked again before
-constexpr Micros kMaxProbeInterval{8'000'000};
 constexpr Micros kConnectivityCheckInterval{1'000'000};
 constexpr Micros kConnectivityTimeout{900'000};
 constexpr Micros kConnectivityGrace{1'500'000};
-constexpr double kQuietHeartbeats = 2;
+constexpr double kQuietHeartbeatIntervals = 2;
 constexpr std::size_t kConnectivityTries = 2;
+constexpr std::size_t kMinWorkersForVerdict = 2;  // one alone may be the one that is unreachable
+
+/// Counts a probe as in flight for as long as it lives.
+class ProbeInFlight {
+  public:
+    explicit ProbeInFlight(std::size_t& count) : count_(count) {}
+    ~ProbeInFlight() { --count_; }
+    ProbeInFlight(const ProbeInFlight&) = delete;
+    ProbeInFlight& operator=(const ProbeInFlight&) = delete;
+
+  private:
+    std::size_t& count_;
+};
 }  // namespace
 
+Task<io::HttpReply> ReachabilityMonitor::request_status(io::Address worker, Micros timeout) {
+    return context_.worker_http.send(worker, "GET", "/status", "", steady_now() + timeout,
+                                     kMaxWorkerStatusBytes);
+}
+
 Task<void> ReachabilityMonitor::probe(std::string machine) {
-    struct InFlight {
-        std::size_t& count;
-        ~InFlight() { --count; }
-    } in_flight{probes_in_flight_};
+    const ProbeInFlight in_flight{probes_in_flight_};
     const core::MachineView* view = context_.workers.cluster_view().find(machine);
     const auto address = view == nullptr ? std::nullopt : io::parse_address(view->last_heartbeat.address);
     if (!address) {
         context_.probes.remove(machine);
         co_return;
     }
-    auto asking = context_.worker_http.send(*address, "GET", "/status", "", steady_now() + kProbeTimeout,
-                                            kMaxWorkerStatusBytes);
-    const io::HttpReply reply = co_await std::move(asking);
+    auto requesting = request_status(*address, kProbeTimeout);
+    const io::HttpReply reply = co_await std::move(requesting);
     if (reply.status == io::http_status::kOk) {
         context_.workers.handle_response_body(reply.body);
         context_.probes.remove(machine);
         context_.signals.scheduling_needed.notify_all();
         co_return;
     }
-    const auto state = context_.probes.states().find(machine);
-    if (state == context_.probes.states().end() || reply.pool_exhausted) co_return;
-    state->second.interval = std::min(state->second.interval * 2, kMaxProbeInterval);
-    context_.probes.record_unanswered(machine, steady_now());
+    // Without a free socket of this controller's own the machine was not asked.
+    if (!reply.pool_exhausted) context_.probes.back_off(machine, steady_now());
 }
 
-// Those that wait longest go first: by name, some dozens of dead machines at the list's head took all the
-// turns, and live ones behind them stayed unused. So many at a time as lets a whole fleet answer within
-// seconds of a failover.
-std::vector<std::string> ReachabilityMonitor::due_probes(Micros now) const {
-    std::vector<std::pair<Micros, std::string>> due;
-    for (const auto& [machine, state] : context_.probes.states()) {
-        if (state.next_probe <= now) due.emplace_back(state.next_probe, machine);
-    }
+// So many at a time as lets a whole fleet answer within seconds of a failover.
+std::size_t ReachabilityMonitor::probes_allowed() const {
     // Half of the sockets are left to commands.
     const std::size_t sockets = std::max(kMinConcurrentProbes, context_.worker_http.most_connections() / 2);
-    const std::size_t most = std::clamp(context_.workers.cluster_view().machines().size() / kFleetPartProbed,
-                                        kMinConcurrentProbes, sockets);
-    const std::size_t number = std::min(due.size(), most - std::min(most, probes_in_flight_));
-    std::partial_sort(due.begin(), due.begin() + static_cast<std::ptrdiff_t>(number), due.end());
-    std::vector<std::string> machines;
-    machines.reserve(number);
-    for (std::size_t i = 0; i < number; ++i) machines.push_back(std::move(due[i].second));
-    return machines;
+    const std::size_t fleet_size = context_.workers.cluster_view().machines().size();
+    const std::size_t limit = std::clamp(fleet_size / kFleetFractionProbed, kMinConcurrentProbes, sockets);
+    return limit - std::min(limit, probes_in_flight_);
 }
 
 Task<void> ReachabilityMonitor::probe_unconfirmed_workers() {
@@ -79,23 +78,19 @@
         co_await context_.loop.sleep(kProbeCheckInterval);
         if (!context_.replicated.is_loaded()) continue;
         const Micros now = steady_now();
-        std::erase_if(context_.probes.states(), [&](const auto& state) {
-            return context_.workers.cluster_view().find(state.first) == nullptr;
-        });
-        for (const auto& machine : due_probes(now)) {
-            ProbeState& state = context_.probes.states()[machine];
-            state.next_probe = now + kProbeUnderWay;
-            state.last_probe = now;
+        context_.probes.remove_unknown(context_.workers.cluster_view());
+        for (const auto& machine : context_.probes.due(now, probes_allowed())) {
+            context_.probes.record_probe_sent(machine, now);
             ++probes_in_flight_;
             context_.scope.spawn(probe(machine));
         }
     }
 }
 
-std::vector<io::Address> ReachabilityMonitor::recently_heard(Micros within) const {
+std::vector<io::Address> ReachabilityMonitor::recently_heard(Micros max_age) const {
     std::vector<io::Address> addresses;
     for (const auto& [machine, view] : context_.workers.cluster_view().machines()) {
-        if (steady_now() - view.last_heartbeat_at > within) continue;
+        if (steady_now() - view.last_heartbeat_at > max_age) continue;
         if (const auto address = io::parse_address(view.last_heartbeat.address))
             addresses.push_back(*address);
     }
@@ -103,11 +98,10 @@
 }
 
 Task<bool> ReachabilityMonitor::reaches_any(std::vector<io::Address> addresses) {
-    for (std::size_t i = 0; i < kConnectivityTries; ++i) {
+    for (std::size_t attempt = 0; attempt < kConnectivityTries; ++attempt) {
         const io::Address address = addresses[next_turn_++ % addresses.size()];
-        auto asking = context_.worker_http.send(address, "GET", "/status", "",
-                                                steady_now() + kConnectivityTimeout, kMaxWorkerStatusBytes);
-        const io::HttpReply reply = co_await std::move(asking);
+        auto requesting = request_status(address, kConnectivityTimeout);
+        const io::HttpReply reply = co_await std::move(requesting);
         if (reply.status != io::http_status::kOk) continue;
         context_.workers.handle_response_body(reply.body);
         co_return true;
@@ -116,21 +110,21 @@
 }
 
 Task<void> ReachabilityMonitor::monitor_worker_connectivity() {
-    // Heartbeats may all go to other controllers, so silence alone is no sign: this one asks some workers.
-    const Micros quiet =
-        core::from_seconds(context_.settings.report_s * kQuietHeartbeats) + kConnectivityGrace;
+    // Heartbeats may all go to other controllers, so silence alone proves nothing: some workers are asked.
+    const Micros quiet_period =
+        core::from_seconds(context_.settings.report_s * kQuietHeartbeatIntervals) + kConnectivityGrace;
     while (true) {
         co_await context_.loop.sleep(kConnectivityCheckInterval);
-        if (steady_now() - context_.health.last_worker_contact < quiet) {
-            context_.health.healthy = true;
+        if (steady_now() - context_.workers.last_contact_at() < quiet_period) {
+            context_.health.set_healthy(true);
             continue;
         }
-        auto others = recently_heard(quiet);
-        if (others.size() < 2) continue;
-        auto trying = reaches_any(std::move(others));
+        auto workers = recently_heard(quiet_period);
+        if (workers.size() < kMinWorkersForVerdict) continue;
+        auto trying = reaches_any(std::move(workers));
         const bool reached = co_await std::move(trying);
-        if (reached != context_.health.healthy) spdlog::warn("event=worker_connectivity ok={}", reached);
-        context_.health.healthy = reached;
+        if (reached != context_.health.is_healthy()) spdlog::warn("event=worker_connectivity ok={}", reached);
+        context_.health.set_healthy(reached);
     }
 }
 
--- a/src/workers/reachability_monitor.hpp
+++ b/src/workers/reachability_monitor.hpp
@@ -1,7 +1,10 @@
-/// Asks workers for their status: those that have yet to show that they hear this controller, and a few when
-/// it hears nobody.
+/// Requests the status of workers: of those that have yet to show that they hear this controller, and of a
+/// few when no worker has been in contact with it.
+///
+/// The only writer of `LocalHealth`.
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <vector>
 
@@ -30,28 +33,32 @@
     io::HttpClient& worker_http;
 };
 
+/// Two duties, each a coroutine that runs as long as the controller.
 class ReachabilityMonitor {
   public:
     explicit ReachabilityMonitor(const ReachabilityContext& context) : context_(context) {}
 
     /// Probes machines whose heartbeats alone prove nothing: new ones, silent ones that are back, and those
-    /// that report but did not answer a command. One that only sends would otherwise be given tasks for ever.
-    /// Runs as long as the controller.
+    /// that send heartbeats but did not answer a command. One that only sends would otherwise be given tasks
+    /// for ever.
     io::Task<void> probe_unconfirmed_workers();
-    /// A controller that is cut from the workers only can't schedule: it says so, and its shards move. Runs
-    /// as long as the controller.
+    /// A controller that is partitioned from the workers alone can't schedule: it says so to its peers, and
+    /// its shards move.
     io::Task<void> monitor_worker_connectivity();
 
   private:
-    std::vector<std::string> due_probes(io::Micros now) const;
+    /// How many more probes may be sent now.
+    std::size_t probes_allowed() const;
     io::Task<void> probe(std::string machine);
-    /// Machines that other controllers hear.
-    std::vector<io::Address> recently_heard(io::Micros within) const;
+    io::Task<io::HttpReply> request_status(io::Address worker, io::Micros timeout);
+    /// Workers of whom a heartbeat came within `max_age`, by way of any controller.
+    std::vector<io::Address> recently_heard(io::Micros max_age) const;
+    /// True when one of a few of these workers, which must not be empty, has answered.
     io::Task<bool> reaches_any(std::vector<io::Address> addresses);
 
     const ReachabilityContext context_;
     std::size_t probes_in_flight_ = 0;
-    std::size_t next_turn_ = 0;  // of the machines that connectivity is tried with
+    std::size_t next_turn_ = 0;  // among the workers that connectivity is tried with
 };
 
 }  // namespace hatchwind::controller
--- a/src/workers/worker_http_limits.hpp
+++ b/src/workers/worker_http_limits.hpp
@@ -1,4 +1,4 @@
-/// Bounds of what workers answer.
+/// Bounds on the responses of workers.
 #pragma once
 
 #include <cstddef>
--- a/src/workers/worker_leases.cpp
+++ b/src/workers/worker_leases.cpp
@@ -9,10 +9,10 @@
 using core::Micros;
 
 namespace {
-// Worker clocks may drift and be skewed against this controller's by so much.
+// How far a worker's clock may drift from this controller's, and be skewed against it.
 constexpr double kLeaseMarginSeconds = 1.0;
-constexpr double kDriftShare = 0.002;
-constexpr double kSkewFactor = 0.004;  // four times the skew, from milliseconds to seconds
+constexpr double kDriftShare = 0.002;           // of the lease's duration
+constexpr double kSkewSecondsPerMilli = 0.004;  // four times the skew
 }  // namespace
 
 void WorkerLeases::renew(const std::string& machine, Micros wall_clock_now, Micros monotonic_now) {
@@ -42,29 +42,28 @@
 std::size_t WorkerLeases::assigned_count() {
     constexpr double kIntervals = 1.5;
     constexpr double kGraceSeconds = 2;
-    const Micros since =
+    const Micros answered_since =
         io::steady_now() - core::from_seconds(settings_.report_s * kIntervals + kGraceSeconds);
-    std::erase_if(assigned_, [&](const auto& worker) { return worker.second < since; });
+    std::erase_if(assigned_, [&](const auto& worker) { return worker.second < answered_since; });
     return assigned_.size();
 }
 
-// From the latest moment at which anyone may have answered: this incarnation, what others told, and for
-// incarnations that are members no longer, the time at which the epoch that removed them was written.
+// Counted from the latest moment at which any controller may have answered: this one and its peers by their
+// renewals, former members at the latest when the epoch that removed them was written.
 Micros WorkerLeases::latest_expiry(const std::string& machine) const {
     const Micros removed_at = replicated_.epoch().removed_at;
-    Micros last = std::max(removed_at, replicated_.loaded_at());
+    Micros latest_renewal = std::max(removed_at, replicated_.loaded_at());
     if (const auto renewal = known_renewals_.find(machine); renewal != known_renewals_.end())
-        last = std::max(renewal->second, removed_at);
-    // An incarnation begins with a lease that no controller gave, and it may have been learned from an answer
-    // to a direct command: counted from the last answered heartbeat alone, tasks of a worker that reaches
-    // nobody were started a second time while they ran (LeaseOfASession tests).
-    last = std::max(last, incarnations_.at(machine).first_known);
+        latest_renewal = std::max(renewal->second, removed_at);
+    // An incarnation begins with a lease that no controller granted, and it may have been learned from the
+    // answer to a command. Counted from the last answered heartbeat alone, tasks of a worker whose heartbeats
+    // reach no controller were started a second time while they ran (LeaseOfASession tests).
+    latest_renewal = std::max(latest_renewal, incarnations_.at(machine).first_known);
     const double margin_s =
-        kLeaseMarginSeconds + settings_.lease_s * kDriftShare + settings_.skew_ms * kSkewFactor;
-    return last + core::from_seconds(settings_.lease_s + margin_s);
+        kLeaseMarginSeconds + settings_.lease_s * kDriftShare + settings_.skew_ms * kSkewSecondsPerMilli;
+    return latest_renewal + core::from_seconds(settings_.lease_s + margin_s);
 }
 
-// Every other member must have said, after the lease's end, that it did not answer later than that.
 bool WorkerLeases::peers_reported_until(Micros expiry) const {
     const auto& members = replicated_.epoch().members;
     return std::all_of(members.begin(), members.end(), [&](const core::Member& member) {
--- a/src/workers/worker_leases.hpp
+++ b/src/workers/worker_leases.hpp
@@ -1,4 +1,7 @@
 /// Until when each worker's lease may still run, wherever it was renewed.
+///
+/// Owns the renewals that this controller knows of, and the incarnations of the workers. All of it is memory
+/// only: what a controller can't know after a restart it takes to be as late as possible.
 #pragma once
 
 #include <cstdint>
@@ -23,23 +26,24 @@
                  const Leadership& leadership)
         : settings_(settings), replicated_(replicated), peers_(peers), leadership_(leadership) {}
 
-    /// This controller answers a heartbeat of the worker, now by both clocks.
+    /// This controller answers a heartbeat of the worker, at this moment by both clocks.
     void renew(const std::string& machine, core::Micros wall_clock_now, core::Micros monotonic_now);
-    /// A peer says that it, or another one, renewed the lease at that time of day.
+    /// The lease was renewed by some controller at that time of day. The latest renewal counts.
     void record_peer_renewal(const std::string& machine, core::Micros renewed_at);
-    /// Time of day of the renewals by this incarnation, which peers are told of.
+    /// Time of day of the renewals by this controller since it started, for its peers.
     const Renewals& own_renewals() const { return own_renewals_; }
 
-    /// A worker incarnation exists. It began before this moment, and with a lease that nobody granted.
+    /// A worker incarnation exists. It began before this moment, and with a lease that no controller granted.
     void record_incarnation(const std::string& machine, std::uint64_t incarnation);
-    /// Certain that the lease of that incarnation has expired, wherever the machine reported.
+    /// True when the lease of that incarnation has certainly expired, whichever controllers the worker's
+    /// heartbeats went to.
     bool is_expired(const std::string& machine, std::uint64_t incarnation, core::Micros wall_clock_now);
-    /// The machine is gone for good.
+    /// The machine has been released.
     void forget(const std::string& machine);
 
-    /// Workers whose heartbeats come to this controller.
+    /// How many workers send their heartbeats to this controller.
     std::size_t assigned_count();
-    /// The worker was sent to another controller, or has been heard by one.
+    /// The worker was redirected to another controller, or has been answered by one.
     void unassign(const std::string& machine) { assigned_.erase(machine); }
 
   private:
@@ -47,7 +51,9 @@
         std::uint64_t incarnation = 0;
         core::Micros first_known{0};  // time of day
     };
+    /// Time of day by which a lease that any controller may have renewed has expired by the worker's clock.
     core::Micros latest_expiry(const std::string& machine) const;
+    /// Every other member's renewals up to that time of day are known.
     bool peers_reported_until(core::Micros expiry) const;
 
     const Settings& settings_;
@@ -56,8 +62,8 @@
     const Leadership& leadership_;
     Renewals own_renewals_;    // time of day
     Renewals known_renewals_;  // time of day, by any controller
-    // Workers that this controller was the last to answer: monotonic, when. A count of those answered of late
-    // would hold the ones that have just been sent elsewhere, and send on as many again.
+    // Workers that this controller was the last to answer, with the monotonic time of it. A count of all that
+    // it answered recently would include those that it has just redirected, and redirect as many again.
     std::unordered_map<std::string, core::Micros> assigned_;
     // The newest incarnation of each machine that a heartbeat or a record has named.
     std::unordered_map<std::string, IncarnationSighting> incarnations_;
--- a/src/workers/worker_status.cpp
+++ b/src/workers/worker_status.cpp
@@ -11,10 +11,10 @@
 
 using core::Micros;
 
-wire::WorkerStatusUpdate status_update(const core::MachineView& machine, Micros heard) {
+wire::WorkerStatusUpdate status_update(const core::MachineView& machine, Micros answered_at) {
     wire::WorkerStatusUpdate update;
     update.heartbeat = machine.last_heartbeat;
-    update.heard_us = heard.count();
+    update.heard_us = answered_at.count();
     update.confirmed = machine.confirmed;
     return update;
 }
@@ -25,71 +25,92 @@
     return core::from_seconds(context_.settings.report_s * kIntervals + kGraceSeconds);
 }
 
-WorkerStatus::KnownMachine WorkerStatus::known_machine(const std::string& machine) const {
+WorkerStatus::StatusVersion WorkerStatus::status_version(const std::string& machine) const {
     const core::MachineView* view = cluster_view_.find(machine);
     if (view == nullptr) return {};
     return {true, view->last_heartbeat.incarnation, view->content_sequence,
             view->last_heartbeat.fencing_token, view->confirmed};
 }
 
-bool WorkerStatus::merge_heartbeat(core::WorkerHeartbeat heartbeat, Micros heard, HeartbeatSource source) {
+bool WorkerStatus::is_of_recent_epoch(const core::WorkerHeartbeat& heartbeat, Micros monotonic_now) const {
+    const ReplicatedState& replicated = context_.replicated;
+    if (heartbeat.fencing_token == 0 || heartbeat.fencing_token != replicated.epoch().number) return false;
+    return monotonic_now - replicated.epoch_seen_at() < stale_heartbeat_threshold();
+}
+
+bool WorkerStatus::merge_heartbeat(core::WorkerHeartbeat heartbeat, Micros answered_at,
+                                   HeartbeatSource source) {
     const std::string machine = heartbeat.machine;
     context_.leases.record_incarnation(machine, heartbeat.incarnation);
-    const KnownMachine before = known_machine(machine);
+    const StatusVersion before = status_version(machine);
     const Micros now = io::steady_now();
-    const core::Epoch& epoch = context_.replicated.epoch();
-    // A heartbeat that bears the token of an epoch that has only just begun was made after it began.
-    const bool recent = heartbeat.fencing_token != 0 && heartbeat.fencing_token == epoch.number &&
-                        now - context_.replicated.epoch_seen_at() < stale_heartbeat_threshold();
-    const bool proves_life =
-        source == HeartbeatSource::response || source == HeartbeatSource::confirmed_by_peer || recent;
-    if (!cluster_view_.apply(std::move(heartbeat), now, heard, proves_life, stale_heartbeat_threshold())) {
-        if (heard.count() != 0) cluster_view_.heard(machine, heard);
+    const bool proves_alive = source == HeartbeatSource::response ||
+                              source == HeartbeatSource::confirmed_by_peer ||
+                              is_of_recent_epoch(heartbeat, now);
+    if (!cluster_view_.apply(std::move(heartbeat), now, answered_at, proves_alive,
+                             stale_heartbeat_threshold())) {
+        if (answered_at.count() != 0) cluster_view_.heard(machine, answered_at);
         return false;
     }
-    const core::MachineView& view = *cluster_view_.find(machine);
-    const KnownMachine after = known_machine(machine);
-    const bool changed = !before.known || before.incarnation != after.incarnation ||
-                         before.content_sequence != after.content_sequence;
-    if (changed) record_images(view);
+    const StatusVersion after = status_version(machine);
+    const bool content_changed = !before.known || before.incarnation != after.incarnation ||
+                                 before.content_sequence != after.content_sequence;
+    if (content_changed) record_images_of_tasks(*cluster_view_.find(machine));
     if (!after.confirmed) context_.probes.request(machine);
     context_.probes.expedite(machine);
     const bool news =
-        changed || before.fencing_token != after.fencing_token || before.confirmed != after.confirmed;
+        content_changed || before.fencing_token != after.fencing_token || before.confirmed != after.confirmed;
     if (news) context_.signals.scheduling_needed.notify_all();
     if (!before.known) context_.signals.scaling_needed.notify_all();
     return news;
 }
 
-// A task that runs, or is done, has had its image fetched.
-void WorkerStatus::record_images(const core::MachineView& machine) {
-    if (!context_.catalog) return;
+std::optional<double> WorkerStatus::image_cache_gb(const core::MachineView& machine) const {
+    if (!context_.catalog) return std::nullopt;
     const auto type = context_.catalog->find(machine.last_heartbeat.type);
-    if (type == context_.catalog->end()) return;
+    if (type == context_.catalog->end()) return std::nullopt;
+    return type->second.cache_gb;
+}
+
+void WorkerStatus::record_images_of_tasks(const core::MachineView& machine) {
+    const std::optional<double> cache_gb = image_cache_gb(machine);
+    if (!cache_gb) return;
     for (const auto& task : machine.last_heartbeat.tasks) {
+        // A task that runs, or is done, has had its image fetched.
         const bool fetched = task.state != core::TaskState::fetching &&
                              (task.state != core::TaskState::exited || task.cause == core::ExitCause::done);
         const core::JobEntry* entry = fetched ? context_.replicated.job_table().find(task.job) : nullptr;
         if (entry == nullptr) continue;
         cluster_view_.record_image(machine.last_heartbeat.machine, entry->job.image, entry->job.image_gb,
-                                   type->second.cache_gb, io::steady_now());
+                                   *cache_gb, io::steady_now());
+    }
+}
+
+void WorkerStatus::record_images_from_peer(const std::string& machine, const CachedImages& images) {
+    if (images.empty()) return;
+    const core::MachineView* view = cluster_view_.find(machine);
+    const std::optional<double> cache_gb = view == nullptr ? std::nullopt : image_cache_gb(*view);
+    if (!cache_gb) return;
+    for (const auto& [image, gb] : images) {
+        if (view->images.contains(image)) continue;
+        cluster_view_.record_image(machine, image, gb, *cache_gb, io::steady_now());
     }
 }
 
 void WorkerStatus::handle_heartbeat(core::WorkerHeartbeat heartbeat) {
     const Micros wall_clock_now = io::wall_now();
-    context_.health.last_worker_contact = io::steady_now();
+    last_contact_at_ = io::steady_now();
     const std::string machine = heartbeat.machine;
     const std::uint64_t sequence = heartbeat.heartbeat_sequence;
-    // Even the answer to a late copy may have renewed a lease, as far as this controller can tell: it bounds
-    // the lease's end, and proves nothing about the machine.
-    context_.leases.renew(machine, wall_clock_now, context_.health.last_worker_contact);
+    // Even the answer to a late duplicate may have renewed a lease, as far as this controller can tell: it
+    // bounds the lease's end, and proves nothing about the machine.
+    context_.leases.renew(machine, wall_clock_now, last_contact_at_);
     const bool news = merge_heartbeat(std::move(heartbeat), wall_clock_now, HeartbeatSource::request);
     share(machine, sequence, wall_clock_now, news);
 }
 
 void WorkerStatus::handle_response(core::WorkerHeartbeat status) {
-    context_.health.last_worker_contact = io::steady_now();
+    last_contact_at_ = io::steady_now();
     const std::string machine = status.machine;
     const std::uint64_t sequence = status.heartbeat_sequence;
     context_.probes.remove(machine);
@@ -109,19 +130,20 @@
     handle_response(std::move(*status));
 }
 
-void WorkerStatus::share(const std::string& machine, std::uint64_t heartbeat_sequence, Micros heard,
+void WorkerStatus::share(const std::string& machine, std::uint64_t heartbeat_sequence, Micros answered_at,
                          bool news) {
     const core::MachineView* view = cluster_view_.find(machine);
-    // A copy of an old heartbeat is no sign of life, and none of the others' business.
+    // A duplicate of an old heartbeat proves nothing about the machine, so the peers don't need it.
     if (view == nullptr || view->last_heartbeat.heartbeat_sequence != heartbeat_sequence) return;
     if (news) {
-        context_.links.broadcast(status_update(*view, heard));
+        context_.links.broadcast(status_update(*view, answered_at));
         return;
     }
-    // Unchanged heartbeats are passed on in a short form: the others use a machine only while it has news.
+    // Unchanged heartbeats are passed on in a short form: the others use a machine only while
+    // its status is recent.
     context_.links.broadcast(wire::WorkerKeepAlive{
         machine, view->last_heartbeat.incarnation, view->last_heartbeat.heartbeat_sequence,
-        view->last_heartbeat.fencing_token, view->content_sequence, heard.count()});
+        view->last_heartbeat.fencing_token, view->content_sequence, answered_at.count()});
 }
 
 void WorkerStatus::apply_peer_renewal(const std::string& machine, Micros renewed_at) {
@@ -130,36 +152,28 @@
     cluster_view_.heard(machine, renewed_at);
 }
 
+void WorkerStatus::record_answer_by_peer(const std::string& machine, Micros answered_at) {
+    if (answered_at.count() == 0) return;
+    context_.leases.record_peer_renewal(machine, answered_at);
+    context_.leases.unassign(machine);
+}
+
 void WorkerStatus::apply_peer_status(wire::WorkerStatusUpdate update) {
-    const Micros heard{update.heard_us};
+    const Micros answered_at{update.heard_us};
     const std::string machine = update.heartbeat.machine;
     if (cluster_view_.released(machine)) return;
-    if (heard.count() != 0) {
-        context_.leases.record_peer_renewal(machine, heard);
-        context_.leases.unassign(machine);
-    }
-    merge_heartbeat(std::move(update.heartbeat), heard,
+    record_answer_by_peer(machine, answered_at);
+    merge_heartbeat(std::move(update.heartbeat), answered_at,
                     update.confirmed ? HeartbeatSource::confirmed_by_peer : HeartbeatSource::peer);
-    if (!context_.catalog || update.images.empty()) return;
-    const core::MachineView* view = cluster_view_.find(machine);
-    if (view == nullptr) return;
-    const auto type = context_.catalog->find(view->last_heartbeat.type);
-    if (type == context_.catalog->end()) return;
-    for (const auto& [image, gb] : update.images) {
-        if (view->images.contains(image)) continue;
-        cluster_view_.record_image(machine, image, gb, type->second.cache_gb, io::steady_now());
-    }
+    record_images_from_peer(machine, update.images);
 }
 
 void WorkerStatus::apply_peer_keep_alive(const wire::WorkerKeepAlive& keep_alive) {
-    const Micros heard{keep_alive.heard_us};
+    const Micros answered_at{keep_alive.heard_us};
     if (cluster_view_.released(keep_alive.machine)) return;
-    if (heard.count() != 0) {
-        context_.leases.record_peer_renewal(keep_alive.machine, heard);
-        context_.leases.unassign(keep_alive.machine);
-    }
+    record_answer_by_peer(keep_alive.machine, answered_at);
     cluster_view_.alive(keep_alive.machine, keep_alive.incarnation, keep_alive.heartbeat_sequence,
-                        keep_alive.fencing_token, keep_alive.content_sequence, io::steady_now(), heard);
+                        keep_alive.fencing_token, keep_alive.content_sequence, io::steady_now(), answered_at);
 }
 
 void WorkerStatus::record_released(const std::string& machine) {
@@ -177,19 +191,19 @@
 }
 
 core::Availability WorkerStatus::availability() const {
-    constexpr double kSilentIntervals = 2.5;
-    constexpr double kSilentGraceSeconds = 1.5;
+    constexpr double kUnresponsiveIntervals = 2.5;
+    constexpr double kUnresponsiveGraceSeconds = 1.5;
     constexpr Micros kUnansweredFor{2'000'000};
     core::Availability availability;
     availability.now = io::steady_now();
     availability.silent_after =
-        core::from_seconds(context_.settings.report_s * kSilentIntervals + kSilentGraceSeconds);
-    // A worker whose heartbeats reach nobody keeps no lease: its tasks would die with each of its
+        core::from_seconds(context_.settings.report_s * kUnresponsiveIntervals + kUnresponsiveGraceSeconds);
+    // A worker whose heartbeats reach no controller keeps no lease: its tasks would end with each of its
     // incarnations.
     availability.heard_since = io::wall_now() - availability.silent_after;
     availability.draining = context_.replicated.draining();
     availability.candidates = drain_candidates_;
-    // One that reports but does not answer gets nothing new: its lease runs out on its own side.
+    // One that sends heartbeats but does not answer gets no new tasks: its lease expires on its own side.
     for (const auto& [machine, state] : context_.probes.states()) {
         if (ReachabilityProbes::is_unanswered_for(state, kUnansweredFor, availability.now))
             availability.banned_until[machine] = Micros::max();
--- a/tests/worker_state.hpp
+++ b/tests/worker_state.hpp
@@ -39,7 +39,7 @@
     controller::WorkerLeases leases{settings, replicated, peers, leadership};
     controller::ReachabilityProbes probes;
     controller::WorkerStatus workers{
-        {settings, replicated, catalog, leases, probes, health, links, signals, worker_http}};
+        {settings, replicated, catalog, leases, probes, links, signals, worker_http}};
 };
 
 }  // namespace hatchwind::test
