--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -15,23 +15,25 @@
 using io::Task;
 
 namespace {
-constexpr Micros kReloadInterval{10'000'000};  // least time between reloads of a diverged replica
+constexpr Micros kMinReloadInterval{10'000'000};  // between reloads of a diverged replica
 constexpr Micros kLoadRetry{250'000};
 constexpr Micros kWatchRetry{150'000};
 constexpr Micros kWatchBlock{2'500'000};
 constexpr Micros kReadIndexTimeout{900'000};
-// Read indexes of all controllers together take at most a quarter of the store's request limit.
-constexpr double kReadIndexSpacing = 4e6;
-
-// A dependency list may name some five thousand jobs, and all of their final states have to be known at a
-// time.
-std::size_t final_states_kept(double memory_mb) {
-    constexpr double kPartOfMemory = 1.0 / 64;
-    constexpr double kBytesOfOne = 160;
-    constexpr std::size_t kLeast = 4000;
-    constexpr std::size_t kMost = 65'536;
-    const auto affordable = static_cast<std::size_t>(memory_mb * 1024 * 1024 * kPartOfMemory / kBytesOfOne);
-    return std::clamp(affordable, kLeast, kMost);
+// Read indexes of all controllers together take at most a quarter of the store's request limit: so many
+// microseconds apart at a limit of one request a second.
+constexpr double kReadIndexSpacingMicros = 4e6;
+
+// A dependency list may name some five thousand jobs, and all of their final states have to be known at once.
+std::size_t final_state_capacity(double memory_mb) {
+    constexpr double kBytesPerMegabyte = 1024 * 1024;
+    constexpr double kMemoryFraction = 1.0 / 64;
+    constexpr double kBytesPerEntry = 160;
+    constexpr std::size_t kMinEntries = 4000;
+    constexpr std::size_t kMaxEntries = 65'536;
+    const double cache_bytes = memory_mb * kBytesPerMegabyte * kMemoryFraction;
+    const auto affordable = static_cast<std::size_t>(cache_bytes / kBytesPerEntry);
+    return std::clamp(affordable, kMinEntries, kMaxEntries);
 }
 }  // namespace
 
@@ -43,7 +45,7 @@
       store_(store),
       replicated_(replicated),
       signals_(signals),
-      final_states_(final_states_kept(settings.memory_mb)),
+      final_states_(final_state_capacity(settings.memory_mb)),
       read_requested_(loop),
       read_done_(loop) {}
 
@@ -95,8 +97,8 @@
 }
 
 Task<bool> Replica::load() {
-    // Until it is whole the old state serves: it is old, never wrong, and whoever needs more waits for its
-    // revision.
+    // Until the new state is complete the old one serves: it is old, never wrong, and callers that need a
+    // later one wait for its revision.
     loading_ = true;
     committed_while_loading_.clear();
     auto task = read_store();
@@ -104,8 +106,8 @@
     loading_ = false;
     if (!snapshot) co_return false;
     const std::size_t keys_read = snapshot->items.size();
-    // The pages may have been read before a cancellation that a peer has told since.
-    const auto told = replicated_.cancellations_after(snapshot->revision);
+    // The pages may have been read before a cancellation that a peer has reported since.
+    const auto reported = replicated_.cancellations_after(snapshot->revision);
     // The pages may have been read before this controller's own latest commits: an attempt whose end it has
     // recorded and had acknowledged would count as open again, and be started a second time
     // (StoreMeetings.AnAttemptThatEndsWhileTheReplicaIsReadAnewIsNotStartedAgain).
@@ -113,7 +115,7 @@
               std::back_inserter(snapshot->items));
     committed_while_loading_.clear();
     replicated_.load(snapshot->items, snapshot->revision);
-    apply_cancellations(told);
+    apply_cancellations(reported);
     own_commit_at_load_ = latest_own_commit_;
     signals_.replica_advanced.notify_all();
     spdlog::info("event=replica_loaded keys={} revision={}", keys_read, snapshot->revision);
@@ -192,7 +194,7 @@
     const bool reached = co_await std::move(task);
     if (!reached) co_return false;
     for (const auto& key : conflict.failed) {
-        if (!is_refuted(key, conditions) || steady_now() - diverged_at_ < kReloadInterval) continue;
+        if (!is_refuted(key, conditions) || steady_now() - diverged_at_ < kMinReloadInterval) continue;
         // One such record made every group commit fail that named it: two teams stood still for minutes.
         spdlog::warn("event=replica_diverged key={} mod_revision={} revision={}", key,
                      replicated_.mod_revision_of(key), conflict.revision);
@@ -206,10 +208,11 @@
     reading_ = true;
     // Reads count against the request budget: polls that come close together share one.
     const auto controllers = static_cast<double>(settings_.peers.size() + 1);
-    const auto spacing = static_cast<std::int64_t>(controllers * kReadIndexSpacing / settings_.state_rps);
-    const Micros next = last_read_ + Micros{spacing};
+    const auto spacing =
+        static_cast<std::int64_t>(controllers * kReadIndexSpacingMicros / settings_.state_rps);
+    const Micros next = last_read_at_ + Micros{spacing};
     if (next > steady_now()) co_await loop_.sleep(next - steady_now());
-    last_read_ = steady_now();
+    last_read_at_ = steady_now();
     read_sent_ = true;
     auto task = store_.get(keys::kReadIndex, std::min(deadline, steady_now() + kReadIndexTimeout));
     const GetResult result = co_await std::move(task);
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -1,5 +1,7 @@
-/// Keeps this controller's replica of the store up to date by one watch, and answers whether it is new
+/// Keeps this controller's replica of the store up to date by one watch, and waits for it to be recent
 /// enough.
+///
+/// Writes `ReplicatedState` and the cache of final states; everything else reads them.
 #pragma once
 
 #include <cstdint>
@@ -35,11 +37,11 @@
     /// still says what the store has refuted, it has diverged, and the store is read anew.
     io::Task<bool> wait_for_conflict(std::vector<wire::Condition> conditions, CommitResult conflict,
                                      io::Micros deadline);
-    /// Takes what this controller has committed itself, before the watch brings it.
+    /// Applies what this controller has committed itself, before the watch brings it.
     void apply_own_commit(const wire::StoreItem& item);
     /// The same for all writes of one transaction.
     void apply_own_commit(std::vector<wire::StoreItem>& items, core::Revision revision);
-    /// Takes what a peer knows to be committed; what the replica has already changes nothing.
+    /// Applies what a peer knows to be committed; what the replica already has changes nothing.
     void apply_cancellations(const std::vector<wire::CancellationNotice>& cancellations);
     /// False while the replica, read anew, may lack what this controller has committed itself meanwhile.
     bool has_own_commits() const { return replicated_.revision() >= own_commit_at_load_; }
@@ -52,9 +54,9 @@
         core::Revision revision = 0;
     };
 
-    /// Before the deletion of a job's record is applied. The watch brings all changes in order, and the end
-    /// is conditional on the record as it stood: so the replica's record, which is the last before the end,
-    /// says how the job ended.
+    /// Caches how a job ended, before the deletion of its record is applied. The watch brings all changes in
+    /// order, and the end is conditional on the record as it stood: so the replica's record, which is the
+    /// last before the end, says how the job ended.
     void record_end(const std::string& id, core::Revision deleted);
     io::Task<bool> load();
     io::Task<std::optional<StoreSnapshot>> read_store();
@@ -71,14 +73,14 @@
     ReplicatedState& replicated_;
     ChangeSignals& signals_;
     FinalStateCache final_states_;
-    io::Signal read_requested_;              // somebody waits for the replica to advance
+    io::Signal read_requested_;              // a caller waits for the replica to advance
     core::Revision latest_own_commit_ = 0;   // of this controller
     core::Revision own_commit_at_load_ = 0;  // as it was when the store was last read whole
     io::Signal read_done_;
-    bool reading_ = false;    // one is under way, or waits for its turn
-    bool read_sent_ = false;  // it has been sent: it serves nobody who comes now
+    bool reading_ = false;    // a read of the revision is under way, or waits for its turn
+    bool read_sent_ = false;  // it has been sent: it proves nothing for calls that come now
     std::uint64_t reads_ = 0;
-    io::Micros last_read_{0};  // monotonic
+    io::Micros last_read_at_{0};  // monotonic
     core::Revision read_revision_ = 0;
     bool read_ok_ = false;
     bool loading_ = false;
--- a/src/store/store_keys.hpp
+++ b/src/store/store_keys.hpp
@@ -10,7 +10,9 @@
 
 /// Prefix of everything that the replica holds.
 constexpr const char* kRoot = "h/";
+/// The epoch: who leads, who is a member, who owns which shard.
 constexpr const char* kEpoch = "h/epoch";
+/// All machines that are being drained.
 constexpr const char* kDraining = "h/draining";
 /// Never written: reading it returns the store's current revision.
 constexpr const char* kReadIndex = "h/~";
@@ -18,9 +20,13 @@
 constexpr std::string_view kAttemptPagePrefix = "h/run/";
 constexpr std::string_view kMemberPrefix = "h/node/";
 constexpr std::string_view kDependencyListPrefix = "h/awaits/";
+constexpr std::string_view kFinalPrefix = "f/";
 
+/// The key of a member, by its label; it ends with the member's store lease.
 inline std::string member(const std::string& label) { return std::string(kMemberPrefix) + label; }
+/// The record of an unfinished job.
 inline std::string job(const std::string& id) { return std::string(kJobPrefix) + id; }
+/// A page of recorded attempts.
 inline std::string page(const core::AttemptPageKey& key) {
     return std::string(kAttemptPagePrefix) + key.team + "/" + std::to_string(key.number);
 }
@@ -29,6 +35,6 @@
     return std::string(kDependencyListPrefix) + job + "/" + list + "/" + std::to_string(part);
 }
 /// Outside the replica: final states are read on demand.
-inline std::string final(const std::string& id) { return "f/" + id; }
+inline std::string final(const std::string& id) { return std::string(kFinalPrefix) + id; }
 
 }  // namespace hatchwind::controller::keys
