--- a/src/store/replicated_state.hpp
+++ b/src/store/replicated_state.hpp
@@ -21,7 +21,6 @@
   public:
     /// Jobs, their recorded attempts and the attempt pages.
     const core::JobTable& job_table() const { return job_table_; }
-    core::JobTable& job_table() { return job_table_; }
     /// Who leads, who is a member and who schedules which shard.
     const core::Epoch& epoch() const { return epoch_; }
     /// Monotonic time at which the present epoch came to this controller.
--- a/tests/attempt_pages_test.cpp
+++ b/tests/attempt_pages_test.cpp
@@ -3,7 +3,9 @@
 
 #include "scheduling/attempt_page_writer.hpp"
 #include "scheduling/page_assignment.hpp"
+#include "store/store_keys.hpp"
 #include "support.hpp"
+#include "wire/records.hpp"
 #include "worker_state.hpp"
 
 namespace hatchwind {
@@ -38,7 +40,8 @@
     }
 
     void accept(int number, std::uint32_t tasks = kTasks) {
-        state_.replicated.job_table().put_job(test::job(name(number), "x", tasks, 1), ++mod_revision_);
+        const core::Job job = test::job(name(number), "x", tasks, 1);
+        state_.replicated.apply({controller::keys::job(job.id), wire::job_record(job), ++mod_revision_});
     }
     static std::string name(int number) { return "req-" + std::to_string(100 + number); }
 
@@ -57,11 +60,16 @@
 
     void record_running(int job, std::uint32_t task) {
         core::Chunk chunk;
-        chunk.mod_revision = ++mod_revision_;
         chunk.open[task] = {1, "n-1", 1};
         chunk.last_attempt = 1;
-        chunk.page = 1;
-        state_.replicated.job_table().put_chunk(name(job), 0, chunk);
+        record_page(job, chunk);
+    }
+
+    // The first page of the team, with nothing but that chunk of the job.
+    void record_page(int job, const core::Chunk& chunk) {
+        state_.replicated.apply({controller::keys::page({"x", 1}),
+                                 wire::page_record({{core::ChunkKey{name(job), 0}, &chunk}}),
+                                 ++mod_revision_});
     }
 
     // How urgent it is to record that the task is done.
@@ -110,11 +118,9 @@
 TEST_F(AttemptPages, CompletionsOfATeamNearItsLimitAreOverdueSooner) {
     accept(0, 900);
     core::Chunk chunk;
-    chunk.mod_revision = ++mod_revision_;
     for (std::uint32_t task = 0; task < 900; ++task) chunk.open[task] = {1, "n-1", 1};
     chunk.last_attempt = 1;
-    chunk.page = 1;
-    state_.replicated.job_table().put_chunk(name(0), 0, chunk);
+    record_page(0, chunk);
     EXPECT_EQ(rank_of_completion(0, 0, Micros{1'000'000}), WriteRank::completion);
     EXPECT_EQ(rank_of_completion(0, 0, Micros{6'000'000}), WriteRank::overdue_completion);
 }
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -1,7 +1,9 @@
 // Cancellations and leases where the state service, the leader and the workers fail together.
 #include "controller/controller.hpp"
 #include "site.hpp"
+#include "store/store_keys.hpp"
 #include "support.hpp"
+#include "wire/records.hpp"
 #include "worker_state.hpp"
 
 namespace hatchwind {
@@ -81,7 +83,7 @@
 
 TEST(CancellationNotices, AreAppliedOnceAndNeverToANewerReplica) {
     controller::ReplicatedState replicated;
-    replicated.job_table().put_job(test::job("req-1", "x", 1, 1), 10);
+    replicated.apply({controller::keys::job("req-1"), wire::job_record(test::job("req-1", "x", 1, 1)), 10});
     replicated.advance_to(12);
     EXPECT_FALSE(replicated.apply_cancellations({{"req-1", 11, 5}}));
     EXPECT_FALSE(replicated.job_table().find("req-1")->job.cancelled)
