--- a/src/api/dependency_admission.hpp
+++ b/src/api/dependency_admission.hpp
@@ -1,9 +1,18 @@
-// What users are told of jobs that wait for others, and what a submission that names others comes to.
+/// Decides about jobs with dependencies: what a submission that names other jobs comes to, and whether a
+/// waiting job is cancelled because of one of them.
+///
+/// Writes nothing but the stored parts of long dependency lists. See `core/dependency_graph.hpp` for the DAG.
 #pragma once
 
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
 #include "cluster/leadership.hpp"
 #include "cluster/peer_directory.hpp"
 #include "config/settings.hpp"
+#include "io/task.hpp"
 #include "store/final_state_reader.hpp"
 #include "store/replica.hpp"
 #include "store/replicated_state.hpp"
@@ -11,6 +20,7 @@
 
 namespace hatchwind::controller {
 
+/// Deadlines are monotonic times.
 class DependencyAdmission {
   public:
     DependencyAdmission(const Settings& settings, const ReplicatedState& replicated,
@@ -24,35 +34,48 @@
           replica_(replica),
           final_states_(final_states) {}
 
+    /// What the dependencies of a submission mean for it.
     enum class DependencyStatus : std::uint8_t {
-        none,            // all are done: the job is like any other
-        wait,            // the job has become a waiting one
-        cancelled,       // one of them is cancelled, and so is the job
-        never_accepted,  // one of them, which is certain
-        undecided,       // for now
+        none,            ///< all are done: the job is like any other
+        wait,            ///< some are unfinished: the job has become a waiting one
+        cancelled,       ///< one is cancelled, and so is the job
+        never_accepted,  ///< one was certainly never accepted
+        undecided,  ///< for now: the store could not be read, or a controller does not support dependencies
     };
-    // Looks at the jobs that a submission names, and makes the job a waiting one if it has to wait. The
-    // store's news of them is from after the call.
+    /// Looks up the dependencies of a job, as they are at a moment after the call, and makes the job a
+    /// waiting one if it has to wait. A list that is too long for the job's record is stored beside it.
     io::Task<DependencyStatus> resolve_dependencies(core::Job& job, io::Micros deadline);
 
     enum class Verdict : std::uint8_t { not_cancelled, cancelled, undecided };
-    // Whether the waiting job is cancelled because of a job that it needs. The replica must be as new as the
-    // question. A cancellation told to any user decides from that moment on, whether or not it has been
-    // written into the records of the jobs that depend on it, so that no node gives an older answer.
+    /// Whether a waiting job is cancelled because of one of its ancestors. The replica must be as new as the
+    /// question. A cancellation that was acknowledged to any user decides from that moment on, whether or not
+    /// it has been written into the records of the dependent jobs, so that no controller gives an older
+    /// answer.
     io::Task<Verdict> cancelled_by_dependency(std::string id, io::Micros deadline);
 
   private:
-    // True when every node that may act or answer understands waiting jobs.
-    bool everyone_knows_waiting_jobs() const;
-    bool knows_waiting_jobs(const core::Member& member) const;
-    // Nothing: undecided. Unfinished ones are left in the list.
-    io::Task<std::optional<DependencyStatus>> drop_ended(std::vector<std::string>& dependencies,
-                                                         io::Micros deadline);
-    // Reads the endings of those that are neither known nor unfinished in the replica.
+    /// Every controller that may act or answer users supports waiting jobs.
+    bool all_support_waiting_jobs() const;
+    bool supports_waiting_jobs(const core::Member& member) const;
+    /// What the dependencies come to; nothing when that can't be told now. Those that are done are removed
+    /// from the list.
+    io::Task<std::optional<DependencyStatus>> remove_ended(std::vector<std::string>& dependencies,
+                                                           io::Micros deadline);
+    /// Looks up jobs until each is either in the replica or known to have ended. Returns those that were
+    /// neither in two looks; nothing when the store could not be read.
+    io::Task<std::optional<std::vector<std::string>>> look_up(const std::vector<std::string>& jobs,
+                                                              io::Micros deadline);
+    /// Reads the final states of those that are not cached, then waits until the replica has what had not
+    /// ended by then.
     io::Task<bool> read_terminal_states(std::vector<std::string> jobs, io::Micros deadline);
-    std::vector<std::string> undecided(const std::vector<std::string>& dependencies) const;
-    // Puts a list that is too long for the job's record into records beside it.
+    /// Those that are neither in the replica nor known to have ended.
+    std::vector<std::string> undecided(const std::vector<std::string>& jobs) const;
+    core::TerminalStateLookup terminal_state_lookup() const;
+
+    /// Stores a dependency list that is too long for the job's record in parts beside it.
     io::Task<bool> store_list(core::Job& job, io::Micros deadline);
+    /// Numbers of the list's parts that the replica does not have.
+    std::vector<std::uint32_t> missing_parts(const core::Job& job) const;
 
     const Settings& settings_;
     const ReplicatedState& replicated_;
--- a/src/api/http_router.hpp
+++ b/src/api/http_router.hpp
@@ -1,4 +1,4 @@
-/// Which request goes where: workers' heartbeats, and the users' interface.
+/// Routes HTTP requests to their handlers: heartbeats of workers, requests of users, health checks.
 #pragma once
 
 #include <string>
@@ -10,12 +10,13 @@
 
 namespace hatchwind::controller {
 
+/// Holds no state of its own.
 class HttpRouter {
   public:
     HttpRouter(HeartbeatHandler& heartbeats, UserApi& user_api)
         : heartbeats_(heartbeats), user_api_(user_api) {}
 
-    /// 404 for a path that nothing serves, 405 for a method that its path doesn't have.
+    /// 404 for a path that no handler serves, 405 for a method that its path does not allow.
     io::Task<io::HttpResponse> handle(io::HttpRequest request);
 
   private:
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -1,5 +1,7 @@
 #include "api/user_api.hpp"
 
+#include <utility>
+
 #include "api/user_responses.hpp"
 #include "wire/identifiers.hpp"
 #include "wire/user_api.hpp"
@@ -16,119 +18,124 @@
 
 namespace {
 
-constexpr std::size_t kPolling = 256;
+constexpr std::size_t kMaxPollsUnderWay = 256;
+constexpr Micros kPollTime{1'700'000};
+constexpr Micros kRefusalTime{2'500'000};
 
 }  // namespace
 
-HttpResponse UserApi::describe(const core::JobEntry& e, int status) const {
+bool UserApi::is_ready() const {
+    return context_.replicated.is_loaded() && context_.store.reachable(steady_now());
+}
+
+std::uint32_t UserApi::count_running_tasks(const core::JobEntry& entry) const {
     std::uint32_t running = 0;
-    for (const auto& [i, c] : e.chunks) {
-        for (const auto& [task, a] : c.open) {
-            const auto v = core::view_attempt(context_.workers.cluster_view(), e.job.id, task, a);
-            running += v.status == core::AttemptStatus::live && v.state == core::TaskState::running ? 1 : 0;
+    for (const auto& [index, chunk] : entry.chunks) {
+        for (const auto& [task, attempt] : chunk.open) {
+            const auto view =
+                core::view_attempt(context_.workers.cluster_view(), entry.job.id, task, attempt);
+            if (view.status == core::AttemptStatus::live && view.state == core::TaskState::running) ++running;
         }
     }
-    const auto s = e.job.cancelled ? wire::JobStatus::cancelled
-                   : running > 0   ? wire::JobStatus::running
-                                   : wire::JobStatus::queued;
-    return cbor_response(status, wire::job_answer(e.job.id, s, e.done, running));
+    return running;
 }
 
-Task<Lookup> UserApi::describe_unfinished(std::string id, HttpResponse& answer, Micros deadline) {
+HttpResponse UserApi::describe_entry(const core::JobEntry& entry) const {
+    const std::uint32_t running = count_running_tasks(entry);
+    wire::JobStatus status = running > 0 ? wire::JobStatus::running : wire::JobStatus::queued;
+    if (entry.job.cancelled) status = wire::JobStatus::cancelled;
+    return cbor_response(http_status::kOk, wire::job_answer(entry.job.id, status, entry.done, running));
+}
+
+Task<UserApi::JobDescription> UserApi::describe_unfinished(std::string id, Micros deadline) {
     const core::JobEntry* entry = context_.replicated.job_table().find(id);
     if (entry != nullptr && entry->job.waiting() && !entry->job.cancelled) {
-        auto task = dependency_admission_.cancelled_by_dependency(id, deadline);
-        const auto verdict = co_await std::move(task);
-        if (verdict == DependencyAdmission::Verdict::undecided) co_return Lookup::failed;
+        auto deciding = dependency_admission_.cancelled_by_dependency(id, deadline);
+        const auto verdict = co_await std::move(deciding);
+        if (verdict == DependencyAdmission::Verdict::undecided) co_return JobDescription{};
         if (verdict == DependencyAdmission::Verdict::cancelled) {
-            answer = cbor_response(http_status::kOk, wire::job_answer(id, wire::JobStatus::cancelled, 0, 0));
-            co_return Lookup::found;
+            const FinalState cancelled{wire::JobStatus::cancelled, 0};
+            co_return JobDescription{Lookup::found, final_state_response(id, cancelled)};
         }
         entry = context_.replicated.job_table().find(id);
     }
-    if (entry == nullptr) co_return Lookup::absent;
-    answer = describe(*entry, http_status::kOk);
-    co_return Lookup::found;
+    if (entry == nullptr) co_return JobDescription{Lookup::absent, {}};
+    co_return JobDescription{Lookup::found, describe_entry(*entry)};
 }
 
-Task<Lookup> UserApi::current_state(std::string id, HttpResponse& answer, Micros deadline) {
+Task<UserApi::JobDescription> UserApi::current_state(std::string id, Micros deadline) {
     if (context_.final_states.known(id) == nullptr && context_.replicated.job_table().find(id) != nullptr) {
-        auto index = context_.replica.wait_for_read_index(deadline);
-        const bool current = co_await std::move(index);
-        if (!current) co_return Lookup::failed;
-        auto describing = describe_unfinished(id, answer, deadline);
-        const Lookup described = co_await std::move(describing);
-        if (described != Lookup::absent) co_return described;
+        auto waiting = context_.replica.wait_for_read_index(deadline);
+        const bool current = co_await std::move(waiting);
+        if (!current) co_return JobDescription{};
+        auto describing = describe_unfinished(id, deadline);
+        JobDescription unfinished = co_await std::move(describing);
+        if (unfinished.lookup != Lookup::absent) co_return unfinished;
     }
-    // Final states never change, so one read serves what has ended. With a read index before it, a slow state
-    // service took longer than users wait, and only they were never answered
+    // Final states never change, so one read serves what has ended. With a read index before it, a slow store
+    // took longer than users wait, and their polls of ended jobs were never answered
     // (UserAnswers.AnEndedJobIsAnsweredWhileTheStateServiceIsSlow).
-    FinalState final_state;
-    core::Revision revision = 0;
-    auto first = context_.final_states.find(id, final_state, revision, deadline);
-    Lookup found = co_await std::move(first);
-    if (found == Lookup::absent) {
+    auto first_reading = context_.final_states.find(id, deadline);
+    FinalStateResult final_state = co_await std::move(first_reading);
+    if (final_state.lookup == Lookup::absent) {
         // That answer is a read index itself: what was accepted before it and had not ended is in the
         // replica.
-        auto wait_for_revision = context_.replica.wait_for_revision(revision, deadline);
-        const bool current = co_await std::move(wait_for_revision);
-        if (!current) co_return Lookup::failed;
-        auto describing = describe_unfinished(id, answer, deadline);
-        const Lookup described = co_await std::move(describing);
-        if (described != Lookup::absent) co_return described;
+        auto waiting = context_.replica.wait_for_revision(final_state.revision, deadline);
+        const bool current = co_await std::move(waiting);
+        if (!current) co_return JobDescription{};
+        auto describing = describe_unfinished(id, deadline);
+        JobDescription unfinished = co_await std::move(describing);
+        if (unfinished.lookup != Lookup::absent) co_return unfinished;
         // The replica may be past that revision by now, and the job may have come and ended in between.
-        auto second = context_.final_states.find(id, final_state, revision, deadline);
-        found = co_await std::move(second);
+        auto second_reading = context_.final_states.find(id, deadline);
+        final_state = co_await std::move(second_reading);
     }
-    if (found == Lookup::found)
-        answer =
-            cbor_response(http_status::kOk, wire::job_answer(id, final_state.status, final_state.done, 0));
-    co_return found;
+    if (final_state.lookup != Lookup::found) co_return JobDescription{final_state.lookup, {}};
+    co_return JobDescription{Lookup::found, final_state_response(id, final_state.state)};
 }
 
 Task<HttpResponse> UserApi::refuse_unless_accepted(std::string id, HttpResponse refusal) {
-    if (context_.final_states.known(id) == nullptr &&
-        (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())))
-        co_return retry_later();
-    HttpResponse answer;
-    auto lookup = current_state(id, answer, steady_now() + Micros{2'500'000});
-    const Lookup found = co_await std::move(lookup);
-    if (found == Lookup::found) co_return answer;
-    // Unknown is never "no".
-    co_return found == Lookup::absent ? refusal : retry_later();
+    if (context_.final_states.known(id) == nullptr && !is_ready()) co_return retry_later();
+    auto describing = current_state(std::move(id), steady_now() + kRefusalTime);
+    JobDescription description = co_await std::move(describing);
+    // Only a certain "never accepted" allows the refusal.
+    if (description.lookup == Lookup::absent) co_return refusal;
+    if (description.lookup == Lookup::failed) co_return retry_later();
+    co_return std::move(description.response);
 }
 
 Task<HttpResponse> UserApi::poll(std::string id) {
     if (!wire::is_job_id(id)) co_return plain_response(http_status::kNotFound);
-    if (const FinalState* state = context_.final_states.known(id)) {
-        co_return cbor_response(http_status::kOk, wire::job_answer(id, state->status, state->done, 0));
+    if (const FinalState* state = context_.final_states.known(id)) co_return final_state_response(id, *state);
+    if (polls_under_way_ >= kMaxPollsUnderWay) co_return retry_later(http_status::kTooManyRequests);
+    const RequestCount counted{polls_under_way_};
+    if (!is_ready()) co_return retry_later();
+    auto describing = current_state(std::move(id), steady_now() + kPollTime);
+    JobDescription description = co_await std::move(describing);
+    if (description.lookup == Lookup::failed) co_return retry_later();
+    if (description.lookup == Lookup::absent) co_return plain_response(http_status::kNotFound);
+    co_return std::move(description.response);
+}
+
+bool UserApi::peers_are_no_better() const {
+    const Micros now = steady_now();
+    // A controller that hears none of its peers either is more likely the only one with a fault: its users
+    // were sent to it for as long as the fault lasted.
+    bool isolated = context_.peers.size() != 0;
+    for (const auto& [label, peer] : context_.peers.all()) {
+        if (!context_.peers.is_fresh(label, now)) continue;
+        isolated = false;
+        if (peer.heartbeat.state_ok) return false;
     }
-    if (polling_ >= kPolling) co_return retry_later(http_status::kTooManyRequests);
-    const RequestCount counted{polling_};
-    if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
-    HttpResponse answer;
-    auto lookup = current_state(std::move(id), answer, steady_now() + Micros{1'700'000});
-    const Lookup found = co_await std::move(lookup);
-    if (found == Lookup::failed) co_return retry_later();
-    co_return found == Lookup::absent ? plain_response(http_status::kNotFound) : answer;
+    return !isolated;
 }
 
 HttpResponse UserApi::health() const {
-    const Micros now = steady_now();
     if (!context_.replicated.is_loaded() || !context_.catalog)
         return plain_response(http_status::kServiceUnavailable);
-    if (!context_.store.reachable(now)) {
-        // With every node in the same trouble, leaving the load balancer's list only makes the return slower.
-        // A node that hears none of the others either is more likely the only one in trouble: its users were
-        // sent to it for as long as it lasted.
-        bool alone = context_.peers.size() != 0;
-        for (const auto& [label, peer] : context_.peers.all()) {
-            if (!context_.peers.is_fresh(label, now)) continue;
-            alone = false;
-            if (peer.heartbeat.state_ok) return plain_response(http_status::kServiceUnavailable);
-        }
-        if (alone) return plain_response(http_status::kServiceUnavailable);
-    }
+    // When no controller reaches the store, leaving the load balancer's list only delays the return to it.
+    if (!context_.store.reachable(steady_now()) && !peers_are_no_better())
+        return plain_response(http_status::kServiceUnavailable);
     return plain_response(http_status::kOk);
 }
 
--- a/src/api/user_api_cancel.cpp
+++ b/src/api/user_api_cancel.cpp
@@ -1,4 +1,7 @@
-// Cancellations: committed by whichever node is asked, and told to the others before the user is answered.
+// Cancellations: committed by whichever controller gets the request, and broadcast to its peers before the
+// user is answered.
+#include <utility>
+
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
 #include "store/store_keys.hpp"
@@ -19,15 +22,16 @@
 
 namespace {
 constexpr Micros kCancelTime{2'500'000};
-constexpr int kCancelAttempts = 4;
+constexpr int kMaxCommitAttempts = 4;  // each but the last ended in a conflict
 
-core::Job cancelled_copy(core::Job job, std::size_t value_limit) {
+// The job as cancelled now, in a record of at most so many bytes.
+core::Job cancelled_copy(core::Job job, std::size_t max_record_bytes) {
     job.cancelled = true;
     job.cancelled_at = io::wall_now();
-    // What a waiting job needed does not matter any more.
+    // What a waiting job depended on does not matter any more.
     job.dependencies.clear();
     job.dependency_parts = 0;
-    if (wire::job_record(job).dump().size() <= value_limit) return job;
+    if (wire::job_record(job).dump().size() <= max_record_bytes) return job;
     // Accepted under larger limits. Nothing of a cancelled job is placed any more.
     job.types.reset();
     job.image.clear();
@@ -49,14 +53,14 @@
     if (!wire::is_job_id(id)) co_return plain_response(http_status::kNotFound);
     if (const FinalState* ended = context_.final_states.known(id))
         co_return cbor_response(http_status::kOk, wire::job_answer(id, ended->status));
-    if (submitting_ >= kMostSubmitting) co_return retry_later(http_status::kTooManyRequests);
-    const RequestCount counted{submitting_};
-    if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
+    if (writes_under_way_ >= kMaxWritesUnderWay) co_return retry_later(http_status::kTooManyRequests);
+    const RequestCount counted{writes_under_way_};
+    if (!is_ready()) co_return retry_later();
     const Micros deadline = steady_now() + kCancelTime;
-    for (int attempt = 0; attempt < kCancelAttempts; ++attempt) {
+    for (int attempt = 0; attempt < kMaxCommitAttempts; ++attempt) {
         if (context_.replicated.job_table().find(id) == nullptr) {
-            auto index = context_.replica.wait_for_read_index(deadline);
-            const bool current = co_await std::move(index);
+            auto waiting = context_.replica.wait_for_read_index(deadline);
+            const bool current = co_await std::move(waiting);
             if (!current) co_return retry_later();
         }
         const core::JobEntry* entry = context_.replicated.job_table().find(id);
@@ -74,13 +78,11 @@
 }
 
 Task<HttpResponse> UserApi::answer_ended(std::string id, Micros deadline) {
-    FinalState final_state;
-    core::Revision revision = 0;
-    auto reading = context_.final_states.find(id, final_state, revision, deadline);
-    const Lookup found = co_await std::move(reading);
-    if (found == Lookup::failed) co_return retry_later();
-    if (found == Lookup::absent) co_return plain_response(http_status::kNotFound);
-    co_return cbor_response(http_status::kOk, wire::job_answer(id, final_state.status));
+    auto reading = context_.final_states.find(id, deadline);
+    const FinalStateResult ended = co_await std::move(reading);
+    if (ended.lookup == Lookup::failed) co_return retry_later();
+    if (ended.lookup == Lookup::absent) co_return plain_response(http_status::kNotFound);
+    co_return cbor_response(http_status::kOk, wire::job_answer(id, ended.state.status));
 }
 
 // The entry is not touched after the first suspension: it may be gone by then.
@@ -100,9 +102,9 @@
         co_return confirm_cancel(id);
     }
     if (result.outcome != CommitOutcome::conflict) co_return retry_later();
-    // It was finished or cancelled elsewhere in between.
-    auto reaching = context_.replica.wait_for_conflict({{keys::job(id), mod_revision}}, result, deadline);
-    const bool reached = co_await std::move(reaching);
+    // It has ended, or was cancelled by way of another controller, in between.
+    auto waiting = context_.replica.wait_for_conflict({{keys::job(id), mod_revision}}, result, deadline);
+    const bool reached = co_await std::move(waiting);
     if (!reached) co_return retry_later();
     co_return std::nullopt;
 }
--- a/src/api/user_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -1,7 +1,7 @@
 // Submissions: checked, then accepted by a commit that is conditional on the id being new.
-#include <algorithm>
-#include <set>
+#include <utility>
 
+#include "api/feasibility.hpp"
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
 #include "store/store_keys.hpp"
@@ -18,65 +18,40 @@
 using io::retry_later;
 using io::steady_now;
 using io::Task;
+using DependencyStatus = DependencyAdmission::DependencyStatus;
 namespace http_status = io::http_status;
 
 namespace {
-constexpr std::size_t kJsonLimit = std::size_t{64} * 1024;
+constexpr std::size_t kMaxJsonBytes = std::size_t{64} * 1024;
 // The JSON form of a body is at the most so many times as long as its CBOR form.
-constexpr std::size_t kJsonPerCbor = 8;
+constexpr std::size_t kMaxJsonPerCbor = 8;
 constexpr Micros kSubmissionTime{2'500'000};
 
 // Nothing when it is no CBOR, or too large: limits count the JSON form.
 std::optional<wire::Json> submission_body(const io::HttpRequest& request) {
     auto body = wire::decode(request.body);
-    if (!body || request.body.size() <= kJsonLimit / kJsonPerCbor) return body;
+    if (!body || request.body.size() <= kMaxJsonBytes / kMaxJsonPerCbor) return body;
     const std::string text = body->dump(-1, ' ', false, wire::Json::error_handler_t::replace);
-    return text.size() > kJsonLimit ? std::nullopt : std::move(body);
-}
-}  // namespace
-
-std::optional<std::string> UserApi::impossible(const core::Job& j) const {
-    const auto team = context_.settings.teams.find(j.team);
-    if (team == context_.settings.teams.end()) return "unknown team";
-    std::set<std::string> zones;  // with machines that fit
-    for (const auto& [name, t] : *context_.catalog) {
-        if (!j.allows_type(name) || !j.resources.fits_in(t.size)) continue;
-        for (const auto& z : t.zones) {
-            if (!j.zone || *j.zone == z) zones.insert(z);
-        }
-    }
-    if (zones.empty()) return "fits no allowed machine type";
-    // All tasks of a gang run at once; of other jobs as many may run as one zone takes.
-    const bool one_zone = j.one_zone || zones.size() == 1;
-    if (j.kind == core::JobKind::gang && one_zone && j.zone_cap() < j.tasks) return "can not be spread";
-    const double k = j.kind == core::JobKind::array ? 1.0 : static_cast<double>(j.tasks);
-    if (j.resources.cpus * k > team->second.cpus_max + core::kResourceTolerance ||
-        j.resources.gpus * k > team->second.gpus_max + core::kResourceTolerance) {
-        return "needs more than the team's limit";
-    }
-    return std::nullopt;
+    return text.size() > kMaxJsonBytes ? std::nullopt : std::move(body);
 }
 
-void UserApi::drop_unknown_types(core::Job& job) const {
-    if (!job.types) return;
-    std::set<std::string> named;
-    std::erase_if(*job.types, [&](const std::string& type) {
-        return !context_.catalog->contains(type) || !named.insert(type).second;
-    });
+HttpResponse unprocessable(const std::string& reason) {
+    return cbor_response(http_status::kUnprocessableContent, wire::error_answer(reason));
 }
+}  // namespace
 
 Task<HttpResponse> UserApi::submit(io::HttpRequest request) {
     if (request.body_too_large) co_return plain_response(http_status::kBadRequest);
-    if (submitting_ >= kMostSubmitting) co_return retry_later(http_status::kTooManyRequests);
-    const RequestCount counted{submitting_};
+    if (writes_under_way_ >= kMaxWritesUnderWay) co_return retry_later(http_status::kTooManyRequests);
+    const RequestCount counted{writes_under_way_};
     const auto body = submission_body(request);
     if (!body) co_return plain_response(http_status::kBadRequest);
     auto parsed = wire::parse_submission(*body);
     if (!parsed) {
         HttpResponse refusal = cbor_response(http_status::kBadRequest, wire::error_answer(parsed.error()));
-        std::string named = wire::submitted_id(*body);
-        if (!wire::is_job_id(named)) co_return refusal;
-        auto refusing = refuse_unless_accepted(std::move(named), std::move(refusal));
+        std::string id = wire::submitted_id(*body);
+        if (!wire::is_job_id(id)) co_return refusal;
+        auto refusing = refuse_unless_accepted(std::move(id), std::move(refusal));
         HttpResponse response = co_await std::move(refusing);
         co_return response;
     }
@@ -90,34 +65,40 @@
     // of it by now.
     const bool known = context_.final_states.known(job.id) != nullptr ||
                        context_.replicated.job_table().find(job.id) != nullptr;
-    const std::optional<std::string> why = known || !context_.catalog ? std::nullopt : impossible(job);
-    if (known || !context_.catalog || why) {
-        HttpResponse refusal =
-            why ? cbor_response(http_status::kUnprocessableContent, wire::error_answer(*why)) : retry_later();
-        auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
+    std::optional<HttpResponse> refusal;
+    if (known || !context_.catalog) {
+        refusal = retry_later();
+    } else if (const auto reason = find_infeasibility(job, context_.settings.teams, *context_.catalog)) {
+        refusal = unprocessable(infeasibility_text(*reason));
+    }
+    if (refusal) {
+        auto refusing = refuse_unless_accepted(job.id, *std::move(refusal));
         HttpResponse response = co_await std::move(refusing);
         co_return response;
     }
-    if (!context_.replicated.is_loaded() || !context_.store.reachable(steady_now())) co_return retry_later();
-    // Types that the cloud does not have add nothing, and a long list would pass the value limit.
-    drop_unknown_types(job);
+    if (!is_ready()) co_return retry_later();
+    remove_unknown_types(job, *context_.catalog);
+    auto admitting = admit(std::move(job));
+    HttpResponse response = co_await std::move(admitting);
+    co_return response;
+}
+
+Task<HttpResponse> UserApi::admit(core::Job job) {
     const Micros deadline = steady_now() + kSubmissionTime;
-    bool cancelled_by_dependency = false;
+    auto dependencies = DependencyStatus::none;
     if (!job.dependencies.empty()) {
-        auto settling = dependency_admission_.resolve_dependencies(job, deadline);
-        const auto dependencies = co_await std::move(settling);
-        if (dependencies == DependencyAdmission::DependencyStatus::undecided) co_return retry_later();
-        if (dependencies == DependencyAdmission::DependencyStatus::never_accepted) {
-            HttpResponse refusal = cbor_response(http_status::kUnprocessableContent,
-                                                 wire::error_answer("awaits a job that was never accepted"));
-            auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
-            HttpResponse response = co_await std::move(refusing);
-            co_return response;
-        }
-        cancelled_by_dependency = dependencies == DependencyAdmission::DependencyStatus::cancelled;
+        auto resolving = dependency_admission_.resolve_dependencies(job, deadline);
+        dependencies = co_await std::move(resolving);
+    }
+    if (dependencies == DependencyStatus::undecided) co_return retry_later();
+    if (dependencies == DependencyStatus::never_accepted) {
+        HttpResponse refusal = unprocessable("awaits a job that was never accepted");
+        auto refusing = refuse_unless_accepted(job.id, std::move(refusal));
+        HttpResponse response = co_await std::move(refusing);
+        co_return response;
     }
     job.accepted = io::wall_now();
-    auto accepting = accept(std::move(job), cancelled_by_dependency, deadline);
+    auto accepting = accept(std::move(job), dependencies == DependencyStatus::cancelled, deadline);
     HttpResponse response = co_await std::move(accepting);
     co_return response;
 }
@@ -125,15 +106,15 @@
 Task<HttpResponse> UserApi::accept(core::Job job, bool cancelled_by_dependency, Micros deadline) {
     const wire::Json record =
         cancelled_by_dependency ? wire::final_record(wire::JobStatus::cancelled, 0) : wire::job_record(job);
+    const std::string key = cancelled_by_dependency ? keys::final(job.id) : keys::job(job.id);
     wire::Transaction transaction;
     transaction.conditions = {{keys::job(job.id), 0}, {keys::final(job.id), 0}};
-    const std::string key = cancelled_by_dependency ? keys::final(job.id) : keys::job(job.id);
     transaction.writes.push_back({key, record, 0});
     const CommitPriority priority{true, std::nullopt};
     auto committing = context_.store.commit(std::move(transaction), deadline, priority);
     const CommitResult result = co_await std::move(committing);
     if (result.outcome == CommitOutcome::committed && cancelled_by_dependency) {
-        context_.final_states.note(job.id, {wire::JobStatus::cancelled, 0});
+        context_.final_states.record(job.id, {wire::JobStatus::cancelled, 0});
         co_return cbor_response(http_status::kCreated, wire::job_answer(job.id, wire::JobStatus::cancelled));
     }
     if (result.outcome == CommitOutcome::committed) {
@@ -150,20 +131,17 @@
 }
 
 Task<HttpResponse> UserApi::describe_known(std::string id, core::Revision revision, Micros deadline) {
-    auto reaching = context_.replica.wait_for_revision(revision, deadline);
-    const bool reached = co_await std::move(reaching);
+    auto waiting = context_.replica.wait_for_revision(revision, deadline);
+    const bool reached = co_await std::move(waiting);
     if (!reached) co_return retry_later();
-    HttpResponse answer;
-    auto describing = describe_unfinished(id, answer, deadline);
-    const Lookup described = co_await std::move(describing);
-    if (described == Lookup::found) co_return answer;
-    if (described == Lookup::failed) co_return retry_later();
-    FinalState final_state;
-    core::Revision read_at = 0;
-    auto reading = context_.final_states.find(id, final_state, read_at, deadline);
-    const Lookup found = co_await std::move(reading);
-    if (found != Lookup::found) co_return retry_later();
-    co_return cbor_response(http_status::kOk, wire::job_answer(id, final_state.status, final_state.done, 0));
+    auto describing = describe_unfinished(id, deadline);
+    JobDescription unfinished = co_await std::move(describing);
+    if (unfinished.lookup == Lookup::found) co_return std::move(unfinished.response);
+    if (unfinished.lookup == Lookup::failed) co_return retry_later();
+    auto reading = context_.final_states.find(id, deadline);
+    const FinalStateResult ended = co_await std::move(reading);
+    if (ended.lookup != Lookup::found) co_return retry_later();
+    co_return final_state_response(id, ended.state);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -89,7 +89,7 @@
                       entry->job.job_class, waited.count() / kMicrosPerMilli);
     }
     replica_.apply_own_commit(step.effects, revision);
-    if (step.final_state) final_states_.note(step.job, *step.final_state);
+    if (step.final_state) final_states_.record(step.job, *step.final_state);
 }
 
 Task<bool> DependencyReconciler::commit(std::vector<Step> steps, std::size_t groups, Urgency urgency) {
@@ -118,10 +118,9 @@
 
 Task<bool> DependencyReconciler::read_terminal_states(std::vector<std::string> jobs) {
     if (jobs.size() > kEndingsOfOnePass) jobs.resize(kEndingsOfOnePass);
-    core::Revision revision = 0;
-    auto reading = final_states_.read_all(std::move(jobs), revision, steady_now() + kReadDeadline);
-    const bool read = co_await std::move(reading);
-    co_return read;
+    auto reading = final_states_.read_all(std::move(jobs), steady_now() + kReadDeadline);
+    const auto revision = co_await std::move(reading);
+    co_return revision.has_value();
 }
 
 Task<bool> DependencyReconciler::reconcile() {
--- a/src/store/final_state_cache.hpp
+++ b/src/store/final_state_cache.hpp
@@ -1,7 +1,7 @@
-// A bounded memory of how jobs ended. Final states never change, so what it holds is always right.
+/// A bounded cache of how jobs ended. Final states never change, so an entry is never stale.
 #pragma once
 
-#include <cstdint>
+#include <cstddef>
 #include <list>
 #include <string>
 #include <unordered_map>
@@ -10,32 +10,31 @@
 
 namespace hatchwind::controller {
 
-struct FinalState {
-    wire::JobStatus status = wire::JobStatus::done;
-    std::uint32_t done = 0;  // tasks, for display
-};
+using wire::FinalState;
 
+/// Evicts the entry that was inserted first.
 class FinalStateCache {
   public:
-    // Keeps the latest `most` of them.
-    explicit FinalStateCache(std::size_t most) : most_(most) {}
+    /// `capacity`: the most final states that it keeps.
+    explicit FinalStateCache(std::size_t capacity) : capacity_(capacity) {}
+    /// A final state that the store holds. One that is cached already stays as it is.
     void insert(const std::string& job, FinalState state) {
         if (!states_.emplace(job, state).second) return;
-        order_.push_back(job);
-        if (order_.size() <= most_) return;
-        states_.erase(order_.front());
-        order_.pop_front();
+        insertion_order_.push_back(job);
+        if (insertion_order_.size() <= capacity_) return;
+        states_.erase(insertion_order_.front());
+        insertion_order_.pop_front();
     }
-    // Null: not remembered.
+    /// Null: not cached. Valid until the next insertion.
     const FinalState* find(const std::string& job) const {
-        const auto it = states_.find(job);
-        return it == states_.end() ? nullptr : &it->second;
+        const auto found = states_.find(job);
+        return found == states_.end() ? nullptr : &found->second;
     }
 
   private:
-    std::size_t most_;
-    std::unordered_map<std::string, FinalState> states_;
-    std::list<std::string> order_;
+    std::size_t capacity_;
+    std::unordered_map<std::string, FinalState> states_;  // by job
+    std::list<std::string> insertion_order_;
 };
 
 }  // namespace hatchwind::controller
--- a/src/store/replicated_state.cpp
+++ b/src/store/replicated_state.cpp
@@ -34,12 +34,12 @@
 };
 
 std::optional<DependencyPartKey> parse_dependency_part_key(std::string_view key) {
-    const auto number = wire::parse_task_name(key.substr(keys::kDependencyListPrefix.size()));
-    if (!number) return std::nullopt;
-    const auto list_start = number->first.rfind('/');
-    if (list_start == std::string::npos) return std::nullopt;
-    return DependencyPartKey{number->first.substr(0, list_start), number->first.substr(list_start + 1),
-                             number->second};
+    // The keys of parts have the form of task names: "job/list" and a number.
+    const auto part = wire::parse_task_name(key.substr(keys::kDependencyListPrefix.size()));
+    if (!part) return std::nullopt;
+    const auto job_end = part->job.rfind('/');
+    if (job_end == std::string::npos) return std::nullopt;
+    return DependencyPartKey{part->job.substr(0, job_end), part->job.substr(job_end + 1), part->index};
 }
 
 std::string without_prefix(std::string_view key, std::string_view prefix) {
--- a/src/wire/identifiers.cpp
+++ b/src/wire/identifiers.cpp
@@ -27,12 +27,12 @@
 
 std::string task_name(const std::string& job, std::uint32_t task) { return job + '/' + std::to_string(task); }
 
-std::optional<std::pair<std::string, std::uint32_t>> parse_task_name(std::string_view name) {
+std::optional<TaskName> parse_task_name(std::string_view name) {
     const auto slash = name.rfind('/');
     if (slash == std::string_view::npos || slash == 0) return std::nullopt;
     const auto index = parse_index(name.substr(slash + 1));
     if (!index) return std::nullopt;
-    return std::pair{std::string{name.substr(0, slash)}, *index};
+    return TaskName{std::string{name.substr(0, slash)}, *index};
 }
 
 }  // namespace hatchwind::wire
--- a/src/wire/identifiers.hpp
+++ b/src/wire/identifiers.hpp
@@ -21,7 +21,14 @@
 bool is_job_id(std::string_view id);
 /// The name of a task: "job/index".
 std::string task_name(const std::string& job, std::uint32_t task);
-/// Job and index of a name in this form. The job may be any text: see `is_job_id`.
-std::optional<std::pair<std::string, std::uint32_t>> parse_task_name(std::string_view name);
+/// What a name in the form "job/index" is made of.
+struct TaskName {
+    std::string job;  ///< any text that is not empty: see `is_job_id`
+    std::uint32_t index = 0;
+
+    friend bool operator==(const TaskName&, const TaskName&) = default;
+};
+/// Nothing for a text that has not that form.
+std::optional<TaskName> parse_task_name(std::string_view name);
 
 }  // namespace hatchwind::wire
--- a/src/wire/job_status.hpp
+++ b/src/wire/job_status.hpp
@@ -10,6 +10,14 @@
 /// `queued` and `running` may alternate; `done` and `cancelled` never change again.
 enum class JobStatus : std::uint8_t { queued, running, done, cancelled };
 
+/// How a job ended for good.
+struct FinalState {
+    JobStatus status = JobStatus::done;  ///< done or cancelled
+    std::uint32_t done = 0;              ///< tasks that are done, for display
+
+    friend bool operator==(const FinalState&, const FinalState&) = default;
+};
+
 /// The name on the wire.
 constexpr const char* status_name(JobStatus status) {
     switch (status) {
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -331,7 +331,7 @@
         if (!key) return malformed;
         auto chunk = parse_chunk_record(value, 0);
         if (!chunk) return chunk.error();
-        chunks.emplace(core::ChunkKey{std::move(key->first), key->second}, *std::move(chunk));
+        chunks.emplace(core::ChunkKey{std::move(key->job), key->index}, *std::move(chunk));
     }
     return chunks;
 }
@@ -385,11 +385,11 @@
     return {{field::kFinalStatus, status_name(status)}, {field::kDone, done}};
 }
 
-Decoded<std::pair<JobStatus, std::uint32_t>> parse_final_record(const Json& record) {
+Decoded<FinalState> parse_final_record(const Json& record) {
     const std::string status = text(record, field::kFinalStatus).value_or("");
     const auto done = static_cast<std::uint32_t>(whole(record, field::kDone).value_or(0));
     for (const JobStatus final_status : {JobStatus::done, JobStatus::cancelled}) {
-        if (status == status_name(final_status)) return std::pair{final_status, done};
+        if (status == status_name(final_status)) return FinalState{final_status, done};
     }
     return DecodeError{field::kFinalStatus, "a final status"};
 }
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -58,7 +58,7 @@
 
 /// How a job ended, with the number of its tasks that are done.
 Json final_record(JobStatus status, std::uint32_t done);
-/// Status and number of done tasks; an error for a status that is not final.
-Decoded<std::pair<JobStatus, std::uint32_t>> parse_final_record(const Json& record);
+/// The final state in such a record; an error for a status that is not final.
+Decoded<FinalState> parse_final_record(const Json& record);
 
 }  // namespace hatchwind::wire
--- a/src/wire/store_api.cpp
+++ b/src/wire/store_api.cpp
@@ -61,6 +61,17 @@
     return request;
 }
 
+// What is no text among the keys is left out.
+std::vector<std::string> failed_conditions(const Json& body) {
+    std::vector<std::string> failed;
+    const Json* keys = list(body, field::kFailed);
+    if (keys == nullptr) return failed;
+    for (const auto& key : *keys) {
+        if (key.is_string()) failed.push_back(key.get<std::string>());
+    }
+    return failed;
+}
+
 }  // namespace
 
 Decoded<StoreItem> parse_get_response(std::string key, const Json& body) {
@@ -104,16 +115,6 @@
     return fields.result(std::move(response));
 }
 
-std::vector<std::string> failed_conditions(const Json& body) {
-    std::vector<std::string> failed;
-    const Json* keys = list(body, field::kFailed);
-    if (keys == nullptr) return failed;
-    for (const auto& key : *keys) {
-        if (key.is_string()) failed.push_back(key.get<std::string>());
-    }
-    return failed;
-}
-
 Json create_lease_request(core::Micros time_to_live) {
     const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(time_to_live);
     return {{field::kTtlMs, milliseconds.count()}};
--- a/src/wire/store_api.hpp
+++ b/src/wire/store_api.hpp
@@ -68,8 +68,6 @@
 /// The response to a transaction, carried out or not: the status code tells which. What is no text among the
 /// failed conditions is left out.
 Decoded<CommitResponse> parse_commit_response(const Json& body);
-/// Keys whose conditions failed, from the response to a transaction that was not carried out.
-std::vector<std::string> failed_conditions(const Json& body);
 
 /// The request of a lease that lives so long without being renewed; sent in whole milliseconds, rounded down.
 Json create_lease_request(core::Micros time_to_live);
--- a/src/wire/worker_api.cpp
+++ b/src/wire/worker_api.cpp
@@ -58,8 +58,8 @@
     core::TaskStatus status;
     auto name = parse_task_name(fields.text(field::kTask));
     if (!name) return DecodeError{field::kTask, "a job and the index of its task"};
-    status.job = std::move(name->first);
-    status.task = name->second;
+    status.job = std::move(name->job);
+    status.task = name->index;
     status.attempt = fields.whole(field::kAttempt);
     status.state = read_task_state(fields);
     if (status.state == TaskState::exited) status.cause = read_exit_cause(body);
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -246,7 +246,7 @@
     });
     expect_same_both_ways(kProductionFinal, [](const Json& v) {
         const auto final_state = wire::parse_final_record(v);
-        return final_state ? wire::final_record(final_state->first, final_state->second) : Json{};
+        return final_state ? wire::final_record(final_state->status, final_state->done) : Json{};
     });
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -169,7 +169,7 @@
          {"", "req-", "req-12a", "job-1", "req-1/2", "req-00000000000000000000000000000000000001"}) {
         EXPECT_FALSE(wire::is_job_id(bad)) << bad;
     }
-    EXPECT_EQ(wire::parse_task_name("req-7/12"), (std::pair<std::string, std::uint32_t>{"req-7", 12}));
+    EXPECT_EQ(wire::parse_task_name("req-7/12"), (wire::TaskName{"req-7", 12}));
     for (const char* bad : {"req-7", "/3", "req-7/", "req-7/x", "req-7/-1", "req-7/99999999999"}) {
         EXPECT_FALSE(wire::parse_task_name(bad).has_value()) << bad;
     }
