--- a/src/api/dependency_admission.cpp
+++ b/src/api/dependency_admission.cpp
@@ -203,8 +203,7 @@
             if (!batch.effects.empty() && batch.bytes > kMaxTransactionBytes) break;
             batch.add(keys::dependency_part(job.id, job.dependency_list, part), std::move(record));
         }
-        const CommitPriority priority{true, std::nullopt};
-        auto committing = store_.commit(std::move(batch.transaction), deadline, priority);
+        auto committing = store_.commit(std::move(batch.transaction), deadline, kUserCommit);
         const CommitResult result = co_await std::move(committing);
         if (result.outcome != CommitOutcome::committed) co_return false;
         replica_.apply_own_commit(batch.effects, result.revision);
--- a/src/api/user_api_cancel.cpp
+++ b/src/api/user_api_cancel.cpp
@@ -93,8 +93,7 @@
     wire::Transaction transaction;
     transaction.conditions = {{keys::job(id), mod_revision}};
     transaction.writes.push_back({keys::job(id), record, 0});
-    const CommitPriority priority{true, std::nullopt};
-    auto committing = context_.store.commit(std::move(transaction), deadline, priority);
+    auto committing = context_.store.commit(std::move(transaction), deadline, kUserCommit);
     const CommitResult result = co_await std::move(committing);
     if (result.outcome == CommitOutcome::committed) {
         context_.replica.apply_own_commit({keys::job(id), record, result.revision});
--- a/src/api/user_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -110,8 +110,7 @@
     wire::Transaction transaction;
     transaction.conditions = {{keys::job(job.id), 0}, {keys::final(job.id), 0}};
     transaction.writes.push_back({key, record, 0});
-    const CommitPriority priority{true, std::nullopt};
-    auto committing = context_.store.commit(std::move(transaction), deadline, priority);
+    auto committing = context_.store.commit(std::move(transaction), deadline, kUserCommit);
     const CommitResult result = co_await std::move(committing);
     if (result.outcome == CommitOutcome::committed && cancelled_by_dependency) {
         context_.final_states.record(job.id, {wire::JobStatus::cancelled, 0});
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -48,7 +48,7 @@
 Task<bool> Membership::join() {
     const Micros ttl = context_.tunables.store_lease_ttl;
     const Micros requested_at = steady_now();
-    auto granting = context_.store.grant_lease(ttl);
+    auto granting = context_.store.create_lease(ttl);
     const auto store_lease = co_await std::move(granting);
     if (!store_lease) {
         co_await context_.loop.sleep(kLeaseRetry);
--- a/src/store/change_signals.hpp
+++ b/src/store/change_signals.hpp
@@ -1,11 +1,11 @@
-/// Wake-ups between long-lived duties of one controller.
+/// Signals between the long-lived coroutines of one controller.
 #pragma once
 
 #include "io/loop.hpp"
 
 namespace hatchwind::controller {
 
-/// Signals carry no data: whoever wakes compares wanted with seen anew, so one that is lost or repeated does
+/// Signals carry no data: whoever wakes looks at the state anew, so a signal that is lost or repeated does
 /// no harm.
 struct ChangeSignals {
     explicit ChangeSignals(io::Loop& loop)
--- a/src/store/replicated_state.hpp
+++ b/src/store/replicated_state.hpp
@@ -17,6 +17,7 @@
 
 namespace hatchwind::controller {
 
+/// Each record counts by its mod revision: one that is not newer than the known one changes nothing.
 class ReplicatedState {
   public:
     /// Jobs, their recorded attempts and the attempt pages.
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -22,22 +22,22 @@
 constexpr double kMicrosPerSecond = 1e6;
 constexpr std::size_t kIdleConnections = 6;
 constexpr const char* kPageSize = "1000";
-constexpr std::size_t kLeastWatchBytes = std::size_t{256} << 10U;
-constexpr double kMemoryPartOfWatch = 1.0 / 128;
+constexpr std::size_t kMinWatchBytes = std::size_t{256} << 10U;
+constexpr double kWatchMemoryFraction = 1.0 / 128;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
 constexpr std::size_t kLoggedBodyBytes = 80;
 
-constexpr double kUsersPart = 0.1;  // of the write limit
+constexpr double kUserWriteFraction = 0.1;  // of the write limit
 // A little below the limits: other controllers' bursts fall into the same second.
-constexpr double kUsedOfRequestLimit = 0.9;
-constexpr double kUsedOfWriteLimit = 0.92;
+constexpr double kRequestLimitFraction = 0.9;
+constexpr double kWriteLimitFraction = 0.92;
 constexpr double kRequestBurstSeconds = 0.5;
-constexpr double kLeastRequestBurst = 4;
+constexpr double kMinRequestBurst = 4;
 constexpr double kWriteBurstSeconds = 0.9;
-constexpr double kLeastWriteBurst = 4;
+constexpr double kMinWriteBurst = 4;
 constexpr double kUserBurstSeconds = 3;
-constexpr double kLeastUserBurst = 3;
-constexpr double kUserDebt = 0.7;  // part of a burst that a user's request may owe
+constexpr double kMinUserBurst = 3;
+constexpr double kUserOverdraft = 0.7;  // part of a burst by which a user's request may overdraw
 }  // namespace
 
 StoreClient::StoreClient(io::Loop& loop, const Settings& settings)
@@ -51,30 +51,30 @@
     share(controllers, 1.0 / static_cast<double>(controllers));
 }
 
-void StoreClient::share(std::size_t controllers, double writes) {
-    const double number = static_cast<double>(std::max<std::size_t>(controllers, 1));
-    requests_.set(settings_.state_rps * kUsedOfRequestLimit / number,
-                  std::max(kLeastRequestBurst, settings_.state_rps * kRequestBurstSeconds / number));
-    const double rate = write_capacity() * writes;
-    writes_.set(rate, std::max(kLeastWriteBurst, rate * kWriteBurstSeconds));
-    // Users' acceptances and cancellations have a part of their own: behind a scheduler's transaction of
-    // dozens of writes one that takes milliseconds waited for seconds.
-    const double users = settings_.state_write_rps * kUsersPart / number;
-    user_writes_.set(users, std::max(kLeastUserBurst, users * kUserBurstSeconds));
+void StoreClient::share(std::size_t controllers, double write_share) {
+    const double controller_count = static_cast<double>(std::max<std::size_t>(controllers, 1));
+    requests_.set(settings_.state_rps * kRequestLimitFraction / controller_count,
+                  std::max(kMinRequestBurst, settings_.state_rps * kRequestBurstSeconds / controller_count));
+    const double rate = write_capacity() * write_share;
+    writes_.set(rate, std::max(kMinWriteBurst, rate * kWriteBurstSeconds));
+    // Acceptances and cancellations have a budget of their own: behind a scheduler's transaction of dozens of
+    // writes, one that takes milliseconds waited for seconds.
+    const double user_rate = settings_.state_write_rps * kUserWriteFraction / controller_count;
+    user_writes_.set(user_rate, std::max(kMinUserBurst, user_rate * kUserBurstSeconds));
 }
 
 double StoreClient::write_capacity() const {
-    return settings_.state_write_rps * kUsedOfWriteLimit * (1 - kUsersPart);
+    return settings_.state_write_rps * kWriteLimitFraction * (1 - kUserWriteFraction);
 }
 
 void StoreClient::record_demand(double writes) {
     const Micros now = steady_now();
-    if (demand_at_.count() != 0) {
-        const double seconds = static_cast<double>((now - demand_at_).count()) / kMicrosPerSecond;
-        demand_ *= std::exp(-seconds / kDemandSpan);
+    if (demand_updated_at_.count() != 0) {
+        const double seconds = static_cast<double>((now - demand_updated_at_).count()) / kMicrosPerSecond;
+        demand_ *= std::exp(-seconds / kDemandSpanSeconds);
     }
-    demand_at_ = now;
-    demand_ = std::min(demand_ + writes, settings_.state_write_rps * kDemandSpan);
+    demand_updated_at_ = now;
+    demand_ = std::min(demand_ + writes, settings_.state_write_rps * kDemandSpanSeconds);
 }
 
 double StoreClient::spare_writes() { return writes_.spare(steady_now()); }
@@ -89,14 +89,14 @@
         requests_.spend(1, now);
         return Micros{0};
     }
-    const double debt = call.for_user ? kUserDebt : 0;
+    const double overdraft = call.for_user ? kUserOverdraft : 0;
     TokenBucket* bucket = &writes_;
-    Micros wait = call.writes > 0 ? writes_.wait(call.writes, now, debt) : Micros{0};
-    if (const Micros own = user_writes_.wait(call.writes, now); call.for_user && own < wait) {
+    Micros wait = call.writes > 0 ? writes_.wait(call.writes, now, overdraft) : Micros{0};
+    if (const Micros user_wait = user_writes_.wait(call.writes, now); call.for_user && user_wait < wait) {
         bucket = &user_writes_;
-        wait = own;
+        wait = user_wait;
     }
-    wait = std::max(wait, requests_.wait(1, now, debt));
+    wait = std::max(wait, requests_.wait(1, now, overdraft));
     if (now + wait >= call.deadline) return std::nullopt;
     requests_.spend(1, now);
     if (call.writes > 0) bucket->spend(call.writes, now);
@@ -131,8 +131,8 @@
 std::optional<wire::Json> StoreClient::decode(const io::HttpReply& reply, const char* call) {
     auto body = wire::decode(reply.body);
     if (!body) {
-        ++malformed_;
-        spdlog::warn("event=malformed_response from=state call={} count={}", call, malformed_);
+        ++malformed_responses_;
+        spdlog::warn("event=malformed_response from=state call={} count={}", call, malformed_responses_);
     }
     return body;
 }
@@ -207,7 +207,7 @@
     co_return result;
 }
 
-Task<std::optional<std::uint64_t>> StoreClient::grant_lease(Micros time_to_live) {
+Task<std::optional<std::uint64_t>> StoreClient::create_lease(Micros time_to_live) {
     Call call{"POST", "/grants", wire::encode(wire::create_lease_request(time_to_live)),
               steady_now() + kCallTimeout};
     call.urgent = true;
@@ -233,17 +233,18 @@
     constexpr std::int64_t kMicrosPerMilli = 1000;
     std::string target = "/watch?starts=" + prefix + "&after=" + std::to_string(after) +
                          "&blockMs=" + std::to_string(block.count() / kMicrosPerMilli);
-    // Open watches stay open through an outage, so silence is no failure; but a watch behind a cut must end.
+    // Open watches stay open through an outage, so a late answer is no failure; but a watch behind a
+    // partition must end.
     Call call{"GET", std::move(target), "", steady_now() + block + kWatchGrace};
     call.urgent = true;
     call.max_response_bytes =
-        std::max(kLeastWatchBytes,
-                 static_cast<std::size_t>(settings_.memory_mb * kBytesPerMegabyte * kMemoryPartOfWatch));
+        std::max(kMinWatchBytes,
+                 static_cast<std::size_t>(settings_.memory_mb * kBytesPerMegabyte * kWatchMemoryFraction));
     auto sending = send(std::move(call));
     const io::HttpReply reply = co_await std::move(sending);
-    // An answer has no bound: after a long cut it holds all that was written since, many times what the store
-    // holds, and reading it once ended a small controller for want of memory. The store itself comes in
-    // pages.
+    // An answer has no bound: after a long partition it has all that was written since, many times what the
+    // store holds, and reading it once ended a small controller for want of memory. The store itself is read
+    // in pages.
     if (reply.status == http_status::kGone || reply.too_large) {
         result.too_old = true;
         co_return result;
