--- a/src/api/dependency_admission.hpp
+++ b/src/api/dependency_admission.hpp
@@ -46,6 +46,7 @@
     /// waiting one if it has to wait. A list that is too long for the job's record is stored beside it.
     io::Task<DependencyStatus> resolve_dependencies(core::Job& job, io::Micros deadline);
 
+    /// Whether a job is cancelled; `undecided` when that can't be told now.
     enum class Verdict : std::uint8_t { not_cancelled, cancelled, undecided };
     /// Whether a waiting job is cancelled because of one of its ancestors. The replica must be as new as the
     /// question. A cancellation that was acknowledged to any user decides from that moment on, whether or not
--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -74,8 +74,8 @@
     io::Task<io::HttpResponse> decide_submission(core::Job job);
     /// Decides on a job that can run and is not known yet: its dependencies first, then its acceptance.
     io::Task<io::HttpResponse> admit(core::Job job);
-    /// Commits the job, or its final state if it is cancelled because a dependency is.
-    io::Task<io::HttpResponse> accept(core::Job job, bool cancelled_by_dependency, io::Micros deadline);
+    /// Commits the job as queued, or its final state if it is cancelled because a dependency is.
+    io::Task<io::HttpResponse> accept(core::Job job, wire::JobStatus initial_status, io::Micros deadline);
     /// The state that a job had in the store at that revision.
     io::Task<io::HttpResponse> describe_known(std::string id, core::Revision revision, io::Micros deadline);
     /// `refusal`, unless the job was accepted before: then its state.
--- a/src/api/user_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -98,29 +98,32 @@
         co_return response;
     }
     job.accepted = io::wall_now();
-    auto accepting = accept(std::move(job), dependencies == DependencyStatus::cancelled, deadline);
+    const auto initial_status =
+        dependencies == DependencyStatus::cancelled ? wire::JobStatus::cancelled : wire::JobStatus::queued;
+    auto accepting = accept(std::move(job), initial_status, deadline);
     HttpResponse response = co_await std::move(accepting);
     co_return response;
 }
 
-Task<HttpResponse> UserApi::accept(core::Job job, bool cancelled_by_dependency, Micros deadline) {
+Task<HttpResponse> UserApi::accept(core::Job job, wire::JobStatus initial_status, Micros deadline) {
+    const bool cancelled = initial_status == wire::JobStatus::cancelled;
     const wire::Json record =
-        cancelled_by_dependency ? wire::final_record(wire::JobStatus::cancelled, 0) : wire::job_record(job);
-    const std::string key = cancelled_by_dependency ? keys::final(job.id) : keys::job(job.id);
+        cancelled ? wire::final_record(wire::JobStatus::cancelled, 0) : wire::job_record(job);
+    const std::string key = cancelled ? keys::final(job.id) : keys::job(job.id);
     wire::Transaction transaction;
     transaction.conditions = {{keys::job(job.id), 0}, {keys::final(job.id), 0}};
     transaction.writes.push_back({key, record, 0});
     auto committing = context_.store.commit(std::move(transaction), deadline, kUserCommit);
     const CommitResult result = co_await std::move(committing);
-    if (result.outcome == CommitOutcome::committed && cancelled_by_dependency) {
-        context_.final_states.record(job.id, {wire::JobStatus::cancelled, 0});
-        co_return cbor_response(http_status::kCreated, wire::job_answer(job.id, wire::JobStatus::cancelled));
-    }
     if (result.outcome == CommitOutcome::committed) {
-        context_.replica.apply_own_commit({key, record, result.revision});
-        context_.signals.scheduling_needed.notify_all();
-        context_.signals.scaling_needed.notify_all();
-        co_return cbor_response(http_status::kCreated, wire::job_answer(job.id, wire::JobStatus::queued));
+        if (cancelled) {
+            context_.final_states.record(job.id, {wire::JobStatus::cancelled, 0});
+        } else {
+            context_.replica.apply_own_commit({key, record, result.revision});
+            context_.signals.scheduling_needed.notify_all();
+            context_.signals.scaling_needed.notify_all();
+        }
+        co_return cbor_response(http_status::kCreated, wire::job_answer(job.id, initial_status));
     }
     // Whether an unanswered commit was carried out, the user's next try will find out.
     if (result.outcome != CommitOutcome::conflict) co_return retry_later();
--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,4 +1,4 @@
-/// Whether this controller can serve workers, as it tells its peers.
+/// Whether this controller can serve workers, as it reports to its peers.
 #pragma once
 
 namespace hatchwind::controller {
@@ -7,7 +7,9 @@
 /// and its shards move to others.
 class LocalHealth {
   public:
+    /// Until it is set, a controller counts as healthy.
     bool is_healthy() const { return healthy_; }
+    /// The result of the latest check of the connectivity to workers.
     void set_healthy(bool healthy) { healthy_ = healthy; }
 
   private:
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -74,7 +74,7 @@
     const std::string key = keys::member(context_.leadership.label());
     auto reading = context_.store.get(key, steady_now() + kJoinTimeout);
     const GetResult current = co_await std::move(reading);
-    if (!current.ok) co_return std::nullopt;
+    if (!current.answered) co_return std::nullopt;
     wire::Transaction transaction;
     transaction.conditions.push_back({key, current.mod_revision});
     transaction.writes.push_back({key, wire::member_record(store_lease, core::kCapabilities), store_lease});
--- a/src/store/final_state_reader.cpp
+++ b/src/store/final_state_reader.cpp
@@ -46,10 +46,10 @@
 Task<FinalStateResult> FinalStateReader::find(std::string job, Micros deadline) {
     if (const FinalState* state = known(job)) co_return FinalStateResult{Lookup::found, *state, 0};
     auto reading = store_.get(keys::final(job), deadline);
-    const GetResult answer = co_await std::move(reading);
-    if (!answer.ok) co_return FinalStateResult{};
-    if (!answer.value) co_return FinalStateResult{Lookup::absent, {}, answer.revision};
-    const auto state = wire::parse_final_record(*answer.value);
+    const GetResult result = co_await std::move(reading);
+    if (!result.answered) co_return FinalStateResult{};
+    if (!result.value) co_return FinalStateResult{Lookup::absent, {}, result.revision};
+    const auto state = wire::parse_final_record(*result.value);
     if (!state) co_return FinalStateResult{};
     cache_.insert(job, *state);
     co_return FinalStateResult{Lookup::found, *state, 0};
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -156,7 +156,7 @@
             loaded = false;
             continue;
         }
-        if (!changes.ok) {
+        if (!changes.answered) {
             co_await loop_.sleep(kWatchRetry);
             continue;
         }
@@ -219,7 +219,7 @@
     reading_ = false;
     read_sent_ = false;
     ++reads_;
-    read_ok_ = result.ok && !result.value;
+    read_ok_ = result.answered && !result.value;
     if (read_ok_) read_revision_ = std::max(read_revision_, result.revision);
     read_done_.notify_all();
 }
--- a/src/store/replicated_state.cpp
+++ b/src/store/replicated_state.cpp
@@ -27,19 +27,19 @@
     return core::AttemptPageKey{std::string(key.substr(prefix.size(), team_end - prefix.size())), number};
 }
 
-struct DependencyPartKey {
+struct StoredPartKey {
     std::string job;
     std::string list;
     std::uint32_t number = 0;
 };
 
-std::optional<DependencyPartKey> parse_dependency_part_key(std::string_view key) {
+std::optional<StoredPartKey> parse_dependency_part_key(std::string_view key) {
     // The keys of parts have the form of task names: "job/list" and a number.
     const auto part = wire::parse_task_name(key.substr(keys::kDependencyListPrefix.size()));
     if (!part) return std::nullopt;
     const auto job_end = part->job.rfind('/');
     if (job_end == std::string::npos) return std::nullopt;
-    return DependencyPartKey{part->job.substr(0, job_end), part->job.substr(job_end + 1), part->index};
+    return StoredPartKey{part->job.substr(0, job_end), part->job.substr(job_end + 1), part->index};
 }
 
 std::string without_prefix(std::string_view key, std::string_view prefix) {
--- a/src/store/replicated_state.hpp
+++ b/src/store/replicated_state.hpp
@@ -17,7 +17,7 @@
 
 namespace hatchwind::controller {
 
-/// Each record counts by its mod revision: one that is not newer than the known one changes nothing.
+/// A record that is no newer than the known one changes nothing; parts of dependency lists never change.
 class ReplicatedState {
   public:
     /// Jobs, their recorded attempts and the attempt pages.
@@ -30,6 +30,7 @@
     const std::map<std::string, core::MemberRecord>& member_records() const { return member_records_; }
     /// Machines that are being drained, all in one record.
     const std::set<std::string>& draining() const { return draining_; }
+    /// The mod revision of that record; 0: there is none.
     core::Revision draining_mod_revision() const { return draining_mod_revision_; }
     /// The store's revision that this state has reached.
     core::Revision revision() const { return revision_; }
@@ -48,6 +49,7 @@
     void load(const std::vector<wire::StoreItem>& items, core::Revision revision);
     /// All changes up to that revision have been applied.
     void advance_to(core::Revision revision);
+    /// Replaces the epoch, which came to this controller at that time.
     void set_epoch(core::Epoch epoch, core::Micros monotonic_now);
     /// Applies cancellations that peers know to be committed ahead of this state. True when one was news.
     bool apply_cancellations(const std::vector<wire::CancellationNotice>& cancellations);
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -148,13 +148,13 @@
     if (reply.status == http_status::kNotFound) {
         const auto revision = wire::parse_revision(*body);
         if (!revision) co_return result;
-        result.ok = true;
+        result.answered = true;
         result.revision = *revision;
         co_return result;
     }
     auto item = wire::parse_get_response(std::move(key), *body);
     if (!item) co_return result;
-    result.ok = true;
+    result.answered = true;
     result.value = std::move(item->value);
     result.mod_revision = item->mod_revision;
     co_return result;
@@ -254,7 +254,7 @@
     if (!body) co_return result;
     auto page = wire::parse_watch(*body);
     if (!page) co_return result;
-    result.ok = true;
+    result.answered = true;
     result.page = std::move(*page);
     co_return result;
 }
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -34,7 +34,7 @@
 
 /// The answer to a read of one key.
 struct GetResult {
-    bool ok = false;  ///< an answer came: the value, or certainty that there is none
+    bool answered = false;  ///< an answer came: the value, or certainty that there is none
     std::optional<wire::Json> value;
     core::Revision mod_revision = 0;
     core::Revision revision = 0;  ///< of the store, when there is no value
@@ -42,9 +42,9 @@
 
 /// The answer to a watch.
 struct WatchResult {
-    bool ok = false;       ///< an answer came, possibly without a change
-    bool too_old = false;  ///< the store no longer has these changes, or too many: it must be read anew
-    wire::StorePage page;  ///< the changes in order
+    bool answered = false;  ///< an answer came, possibly without a change
+    bool too_old = false;   ///< the store no longer has these changes, or too many: it must be read anew
+    wire::StorePage page;   ///< the changes in order
 };
 
 /// How urgent a commit is.
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 constexpr std::size_t kMinConcurrentProbes = 32;
-constexpr std::size_t kFleetFractionProbed = 8;  // an eighth of the fleet at a time
+constexpr std::size_t kProbedFleetDivisor = 8;  // an eighth of the fleet at a time
 constexpr Micros kProbeCheckInterval{200'000};
 constexpr Micros kProbeTimeout{1'500'000};
 constexpr Micros kConnectivityCheckInterval{1'000'000};
@@ -26,7 +26,7 @@
 constexpr std::size_t kConnectivityTries = 2;
 constexpr std::size_t kMinWorkersForVerdict = 2;  // one alone may be the one that is unreachable
 
-/// Counts a probe as in flight for as long as it lives.
+/// Takes a probe out of the count of those in flight when it ends.
 class ProbeInFlight {
   public:
     explicit ProbeInFlight(std::size_t& count) : count_(count) {}
@@ -69,7 +69,7 @@
     // Half of the sockets are left to commands.
     const std::size_t sockets = std::max(kMinConcurrentProbes, context_.worker_http.most_connections() / 2);
     const std::size_t fleet_size = context_.workers.cluster_view().machines().size();
-    const std::size_t limit = std::clamp(fleet_size / kFleetFractionProbed, kMinConcurrentProbes, sockets);
+    const std::size_t limit = std::clamp(fleet_size / kProbedFleetDivisor, kMinConcurrentProbes, sockets);
     return limit - std::min(limit, probes_in_flight_);
 }
 
--- a/src/workers/reachability_probes.hpp
+++ b/src/workers/reachability_probes.hpp
@@ -32,6 +32,7 @@
     /// By machine.
     using States = std::map<std::string, ProbeState>;
 
+    /// All machines that have yet to answer.
     const States& states() const { return states_; }
     /// Null: the machine has answered, or is not known.
     const ProbeState* find(const std::string& machine) const;
--- a/src/workers/worker_leases.hpp
+++ b/src/workers/worker_leases.hpp
@@ -20,6 +20,7 @@
 /// task may be started elsewhere only once its worker's lease has expired for certain.
 class WorkerLeases {
   public:
+    /// Time of day of the latest renewal, by machine.
     using Renewals = std::map<std::string, core::Micros>;
 
     WorkerLeases(const Settings& settings, const ReplicatedState& replicated, const PeerDirectory& peers,
--- a/src/workers/worker_status.hpp
+++ b/src/workers/worker_status.hpp
@@ -38,11 +38,13 @@
   public:
     explicit WorkerStatus(const WorkerStatusContext& context) : context_(context) {}
 
+    /// The fleet as this controller sees it.
     const core::ClusterView& cluster_view() const { return cluster_view_; }
     /// Monotonic time at which a worker last sent a heartbeat to this controller or answered it; 0: never.
     core::Micros last_contact_at() const { return last_contact_at_; }
     /// The cluster leader's drain candidates, as last reported: destinations of last resort.
     const std::set<std::string>& drain_candidates() const { return drain_candidates_; }
+    /// Replaces the drain candidates by those that the cluster leader has reported.
     void set_drain_candidates(std::set<std::string> machines) { drain_candidates_ = std::move(machines); }
     /// Which machines may take new tasks now.
     core::Availability availability() const;
