--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -75,11 +75,7 @@
     scope_.spawn(reachability_.monitor_worker_connectivity());
     scope_.spawn(reachability_.probe_unconfirmed_workers());
     scope_.spawn(shard_scheduler_.run());
-    scope_.spawn(scaling_.keep_catalog());
-    scope_.spawn(scaling_.keep_list());
-    scope_.spawn(scaling_.scale_out());
-    scope_.spawn(scaling_.drain());
-    scope_.spawn(scaling_.scale_in());
+    scaling_.start(scope_);
     scope_.spawn(cancellation_enforcer_.run());
     scope_.spawn(dependency_reconciler_.run());
 }
--- a/src/scaling/cloud_client.cpp
+++ b/src/scaling/cloud_client.cpp
@@ -11,15 +11,16 @@
 using io::Task;
 
 namespace {
-constexpr Micros kCallTime{3'000'000};
-constexpr double kRateUsed = 0.9;  // of the cloud's limit
+constexpr Micros kReplyTimeout{3'000'000};
+// The part of the cloud's limit that is used, so that it never refuses a call for it.
+constexpr double kUsedPartOfRateLimit = 0.9;
 }  // namespace
 
 CloudClient::CloudClient(io::Loop& loop, const Settings& settings, io::HttpClient& http)
     : loop_(loop),
       settings_(settings),
       http_(http),
-      budget_(settings.cloud_rps * kRateUsed, settings.cloud_rps) {}
+      budget_(settings.cloud_rps * kUsedPartOfRateLimit, settings.cloud_rps) {}
 
 Task<io::HttpReply> CloudClient::call(std::string method, std::string target, std::string body) {
     while (true) {
@@ -28,14 +29,15 @@
         co_await loop_.sleep(wait);
     }
     budget_.spend(1, steady_now());
-    auto task = http_.send(settings_.cloud, std::move(method), std::move(target), std::move(body),
-                           steady_now() + kCallTime);
-    io::HttpReply reply = co_await std::move(task);
+    auto sending = http_.send(settings_.cloud, std::move(method), std::move(target), std::move(body),
+                              steady_now() + kReplyTimeout);
+    io::HttpReply reply = co_await std::move(sending);
     co_return reply;
 }
 
-void CloudClient::record_malformed(const char* call) {
-    spdlog::warn("event=malformed_response from=cloud call={} count={}", call, ++malformed_);
+void CloudClient::record_malformed_reply(const char* call_name) {
+    ++malformed_replies_;
+    spdlog::warn("event=malformed_response from=cloud call={} count={}", call_name, malformed_replies_);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scaling/cordon_record.hpp
+++ b/src/scaling/cordon_record.hpp
@@ -1,4 +1,4 @@
-// The store's record of the machines that are being drained.
+/// The store's record of cordoned machines: those that are being drained, and take nothing new.
 #pragma once
 
 #include <set>
@@ -12,18 +12,20 @@
 
 namespace hatchwind::controller {
 
+/// The only writer of the record. Every controller reads it through its replica.
 class CordonRecord {
   public:
     CordonRecord(const Settings& settings, const ReplicatedState& replicated, const WorkerStatus& workers,
                  StoreClient& store, Replica& replica)
         : settings_(settings), replicated_(replicated), workers_(workers), store_(store), replica_(replica) {}
 
-    // Replaces all marks; true once that is committed.
-    io::Task<bool> write(std::set<std::string> machines);
+    /// Replaces the cordoned machines by these, as far as they fit into one value of the store. True once
+    /// that is committed; it is refused when the epoch or the record has changed meanwhile.
+    io::Task<bool> replace(std::set<std::string> machines);
 
   private:
-    // Drops marks that one value cannot hold.
     void fit_value_limit(std::set<std::string>& machines) const;
+
     const Settings& settings_;
     const ReplicatedState& replicated_;
     const WorkerStatus& workers_;
--- a/src/scaling/eviction_controller.hpp
+++ b/src/scaling/eviction_controller.hpp
@@ -1,4 +1,5 @@
-// Drains: finds machines that can be given back together, by trial repacking, and marks them.
+/// Drains: finds machines that can be scaled in together, by bin packing their tasks onto the others on
+/// trial, and cordons them. Shard owners then evict what runs there, and `ScaleIn` releases the machines.
 #pragma once
 
 #include <optional>
@@ -15,44 +16,42 @@
 
 namespace hatchwind::controller {
 
+/// What evictions read, and what they change.
+struct EvictionContext {
+    const Settings& settings;
+    const Tunables& tunables;
+    const std::optional<core::Catalog>& catalog;
+    const ReplicatedState& replicated;
+    WorkerStatus& workers;  // the drain candidates
+    core::FreeCapacityCache& free_capacity_cache;
+    ChangeSignals& signals;
+    CordonRecord& cordons;
+};
+
+/// Owns the drain planner's memory: candidates, their destinations, and recent stops. Times are monotonic.
 class EvictionController {
   public:
-    EvictionController(const Settings& settings, const Tunables& tunables,
-                       const std::optional<core::Catalog>& catalog, const ReplicatedState& replicated,
-                       WorkerStatus& workers, core::FreeCapacityCache& free_capacity_cache,
-                       ChangeSignals& signals, CordonRecord& cordons)
-        : settings_(settings),
-          tunables_(tunables),
-          catalog_(catalog),
-          replicated_(replicated),
-          workers_(workers),
-          free_capacity_cache_(free_capacity_cache),
-          signals_(signals),
-          cordons_(cordons) {}
-
-    // Plans once, and marks what is chosen.
-    io::Task<void> round();
-    // This node has begun to lead.
-    void start_term() { state_ = {}; }
-    // No rounds are held for now: what was open is not known any more.
-    void pause() { was_open_.clear(); }
+    explicit EvictionController(const EvictionContext& context) : context_(context) {}
+
+    /// Plans once, and cordons what is chosen. Needs the catalog.
+    io::Task<void> run_round();
+    /// This controller has begun to lead.
+    void start_term() { planner_state_ = {}; }
+    /// No rounds are run for now: which attempts were open in the last one says nothing about the next.
+    void pause() { open_in_last_round_.clear(); }
 
   private:
-    void record_stops(io::Micros now);
-    core::DrainInput drain_input(io::Micros now) const;
+    void record_stops(io::Micros monotonic_now);
+    void assume_services_stopped(io::Micros monotonic_now);
+    core::DrainInput drain_input(io::Micros monotonic_now) const;
     core::DrainSettings drain_settings() const;
     core::DrainResult plan(const core::DrainInput& input);
+    void publish_candidates();
+    std::set<std::string> with_cordons(const core::DrainResult& planned) const;
 
-    const Settings& settings_;
-    const Tunables& tunables_;
-    const std::optional<core::Catalog>& catalog_;
-    const ReplicatedState& replicated_;
-    WorkerStatus& workers_;
-    core::FreeCapacityCache& free_capacity_cache_;
-    ChangeSignals& signals_;
-    CordonRecord& cordons_;
-    core::DrainState state_;
-    std::set<core::TaskRef> was_open_;  // in the last round
+    const EvictionContext context_;
+    core::DrainState planner_state_;
+    std::set<core::TaskRef> open_in_last_round_;  // tasks with an open attempt
 };
 
 }  // namespace hatchwind::controller
--- a/src/scaling/instance_inventory.cpp
+++ b/src/scaling/instance_inventory.cpp
@@ -2,7 +2,6 @@
 
 #include <utility>
 
-#include "io/http_status.hpp"
 #include "wire/cloud_api.hpp"
 
 namespace hatchwind::controller {
@@ -14,59 +13,74 @@
 using io::Task;
 
 namespace {
-constexpr Micros kBootTimeUnknown{30'000'000};
+constexpr Micros kBootTimeOfUnknownType{30'000'000};
+
+// A booting instance counts as capacity to come for so many boot times and this much more.
+constexpr int kBootTimesUntilOverdue = 3;
+constexpr double kOverdueMarginSeconds = 5;
+// After these it is released: its machine never came up.
+constexpr int kBootTimesUntilGivenUp = 5;
+constexpr double kGivenUpMarginSeconds = 20;
+
+// How many times the list's lag an instance may be missing from it, and how much longer: one that was listed
+// before, and one that this leader has requested and that no list has shown yet.
+constexpr double kLagsWhenListed = 2;
+constexpr double kMarginWhenListedSeconds = 2;
+constexpr double kLagsWhenRequested = 4;
+constexpr double kMarginWhenRequestedSeconds = 10;
 }  // namespace
 
-Task<InstanceInventory::Reading> InstanceInventory::read() {
-    std::string after;
-    Reading reading;
+Task<InstanceInventory::Listing> InstanceInventory::fetch() {
+    std::string last_machine;
+    Listing listing;
     while (true) {
-        std::string target = "/rentals?most=500";
-        if (!after.empty()) target += "&after=" + after;
-        auto task = cloud_.call("GET", std::move(target), "");
-        const io::HttpReply reply = co_await std::move(task);
-        const auto body = reply.status == io::http_status::kOk ? wire::decode(reply.body) : std::nullopt;
-        const auto page = body ? wire::parse_instances(*body).optional() : std::nullopt;
-        if (!page) {
-            if (reply.status == io::http_status::kOk) cloud_.record_malformed("list");
-            co_return reading;
-        }
-        for (const auto& instance : page->instances) reading.instances.emplace(instance.machine, instance);
+        std::string target = "/rentals?most=" + std::to_string(kPageSize);
+        if (!last_machine.empty()) target += "&after=" + last_machine;
+        auto call = cloud_.call("GET", std::move(target), "");
+        const io::HttpReply reply = co_await std::move(call);
+        const auto page = cloud_.decode(reply, "list", wire::parse_instances);
+        if (!page) co_return listing;
+        for (const auto& instance : page->instances) listing.instances.emplace(instance.machine, instance);
         if (!page->more || page->instances.empty()) break;
-        after = page->instances.back().machine;
+        last_machine = page->instances.back().machine;
     }
-    reading.whole = true;
-    co_return reading;
+    listing.complete = true;
+    co_return listing;
 }
 
-void InstanceInventory::take(const Listed& listed) {
-    const Micros now = steady_now();
+void InstanceInventory::apply(const InstancesByMachine& listed) {
+    const Micros monotonic_now = steady_now();
     for (const auto& [machine, instance] : listed) {
         if (workers_.cluster_view().released(machine)) continue;
         KnownInstance& known = known_[machine];
-        if (known.rented.count() == 0)
-            known.rented = now - from_seconds(instance.age_s + settings_.list_lag_s);
+        if (known.requested_at.count() == 0)
+            known.requested_at = monotonic_now - from_seconds(instance.age_s + settings_.list_lag_s);
         known.instance = instance;
-        known.seen = now;
-        known.listed = true;
+        known.last_listed_at = monotonic_now;
+        known.was_listed = true;
     }
-    std::erase_if(known_, [&](const auto& known) { return is_gone(known.first, known.second, listed, now); });
+    std::erase_if(
+        known_, [&](const auto& entry) { return is_gone(entry.first, entry.second, listed, monotonic_now); });
 }
 
-// A list may be older than the one before, but once it has shown a machine it shows it until it is gone. A
-// new one of ours is missing from it for a while.
-bool InstanceInventory::is_gone(const std::string& machine, const KnownInstance& known, const Listed& listed,
-                                Micros now) const {
+// A list may be older than the one before it, but once a list has shown an instance, later ones show it until
+// it is gone. An instance that was only just requested is missing for a while.
+bool InstanceInventory::is_gone(const std::string& machine, const KnownInstance& known,
+                                const InstancesByMachine& listed, Micros monotonic_now) const {
     if (workers_.cluster_view().released(machine)) return true;
     if (listed.contains(machine)) return false;
     const double lag_s = settings_.list_lag_s;
-    if (known.listed) return now - known.seen > from_seconds(lag_s * 2 + 2);
-    return now - known.rented > from_seconds(lag_s * 4 + 10);
+    if (known.was_listed) {
+        const Micros longest_missing = from_seconds(lag_s * kLagsWhenListed + kMarginWhenListedSeconds);
+        return monotonic_now - known.last_listed_at > longest_missing;
+    }
+    const Micros longest_missing = from_seconds(lag_s * kLagsWhenRequested + kMarginWhenRequestedSeconds);
+    return monotonic_now - known.requested_at > longest_missing;
 }
 
 void InstanceInventory::add_requested(const std::string& machine, const core::InstancePool& pool) {
     KnownInstance& known = known_[machine];
-    known.rented = steady_now();
+    known.requested_at = steady_now();
     known.instance.machine = machine;
     known.instance.type = pool.type;
     known.instance.zone = pool.zone;
@@ -84,35 +98,41 @@
 
 Micros InstanceInventory::boot_time(const KnownInstance& known) const {
     const auto type = catalog_->find(known.instance.type);
-    return type == catalog_->end() ? kBootTimeUnknown : type->second.boot;
-}
-
-bool InstanceInventory::overdue(const KnownInstance& known, Micros now) const {
-    return now - known.rented > boot_time(known) * 3 + from_seconds(settings_.report_s + 5);
+    return type == catalog_->end() ? kBootTimeOfUnknownType : type->second.boot;
 }
 
-bool InstanceInventory::never_came_up(const KnownInstance& known, Micros now) const {
-    return now - known.rented > boot_time(known) * 5 + from_seconds(20);
+bool InstanceInventory::has_sent_heartbeat(const std::string& machine) const {
+    return workers_.cluster_view().find(machine) != nullptr;
 }
 
-std::vector<core::Instance> InstanceInventory::booting(Micros now) const {
+std::vector<core::Instance> InstanceInventory::booting(Micros monotonic_now) const {
+    const Micros margin = from_seconds(settings_.report_s + kOverdueMarginSeconds);
     std::vector<core::Instance> booting;
     for (const auto& [machine, known] : known_) {
-        if (workers_.cluster_view().find(machine) != nullptr || known.instance.state == InstanceState::failed)
-            continue;
-        if (!overdue(known, now)) booting.push_back(known.instance);
+        if (has_sent_heartbeat(machine) || known.instance.state == InstanceState::failed) continue;
+        const Micros overdue_after = boot_time(known) * kBootTimesUntilOverdue + margin;
+        if (monotonic_now - known.requested_at <= overdue_after) booting.push_back(known.instance);
     }
     return booting;
 }
 
-std::vector<std::string> InstanceInventory::failed(Micros now, bool long_term) const {
+std::vector<std::string> InstanceInventory::failed() const {
     std::vector<std::string> failed;
     for (const auto& [machine, known] : known_) {
-        const bool in_view = workers_.cluster_view().find(machine) != nullptr;
-        const bool absent = !in_view && long_term && never_came_up(known, now);
-        if (known.instance.state == InstanceState::failed || absent) failed.push_back(machine);
+        if (known.instance.state == InstanceState::failed) failed.push_back(machine);
     }
     return failed;
 }
 
+std::vector<std::string> InstanceInventory::never_booted(Micros monotonic_now) const {
+    const Micros margin = from_seconds(kGivenUpMarginSeconds);
+    std::vector<std::string> never_booted;
+    for (const auto& [machine, known] : known_) {
+        if (has_sent_heartbeat(machine)) continue;
+        const Micros given_up_after = boot_time(known) * kBootTimesUntilGivenUp + margin;
+        if (monotonic_now - known.requested_at > given_up_after) never_booted.push_back(machine);
+    }
+    return never_booted;
+}
+
 }  // namespace hatchwind::controller
--- a/src/scaling/instance_inventory.hpp
+++ b/src/scaling/instance_inventory.hpp
@@ -1,4 +1,4 @@
-// The rented machines as the cloud lists them, and those that this leader has rented since.
+/// The cluster's instances: those that the cloud lists, and those that this leader has requested since.
 #pragma once
 
 #include <map>
@@ -14,51 +14,63 @@
 
 namespace hatchwind::controller {
 
-struct KnownInstance {
-    core::Instance instance;
-    io::Micros rented{0};  // steady: when it was asked for, as far as known
-    io::Micros seen{0};    // steady: last time that a list showed it
-    bool listed = false;
-};
-
+/// Written by the leader's scaling duties alone, and cleared when a term starts. Times are monotonic. The
+/// cloud's list lags behind by up to `list_lag_s` of the settings, so an instance that it doesn't show is not
+/// gone at once.
 class InstanceInventory {
   public:
-    using Listed = std::map<std::string, core::Instance>;
+    /// Instances that one page of the cloud's list shows at most.
+    static constexpr std::size_t kPageSize = 500;
+
+    using InstancesByMachine = std::map<std::string, core::Instance>;
+
+    /// What could be had of the cloud's list.
+    struct Listing {
+        InstancesByMachine instances;
+        bool complete = false;  ///< no page is missing
+    };
 
     InstanceInventory(const Settings& settings, const std::optional<core::Catalog>& catalog,
                       const WorkerStatus& workers, CloudClient& cloud)
         : settings_(settings), catalog_(catalog), workers_(workers), cloud_(cloud) {}
 
-    struct Reading {
-        Listed instances;
-        bool whole = false;  // no page is missing
-    };
-    // The list, page by page, as far as pages could be had.
-    io::Task<Reading> read();
-    void take(const Listed& listed);
+    /// Reads the cloud's list, page by page, up to the first page that can't be had. Changes nothing here.
+    io::Task<Listing> fetch();
+    /// Takes in a complete list: adds what is new, removes what is gone.
+    void apply(const InstancesByMachine& listed);
+    /// The cloud has just granted that machine.
     void add_requested(const std::string& machine, const core::InstancePool& pool);
-    // Returns the pool that the machine was rented from, when it was known.
+    /// The machine was released. Returns the pool that it came from; nothing when it was not known.
     std::optional<core::InstancePool> remove(const std::string& machine);
     void clear() { known_.clear(); }
 
     bool contains(const std::string& machine) const { return known_.contains(machine); }
-    // Rented machines that are still to come up.
-    std::vector<core::Instance> booting(io::Micros now) const;
-    // Machines that never came up, and those that the cloud calls failed.
-    std::vector<std::string> failed(io::Micros now, bool long_term) const;
+    /// Instances without a heartbeat yet that may still send one. Needs the catalog.
+    std::vector<core::Instance> booting(io::Micros monotonic_now) const;
+    /// Machines whose instances the cloud calls failed.
+    std::vector<std::string> failed() const;
+    /// Machines that have sent no heartbeat long after their boot time. Only a leader that has led for some
+    /// time can tell. Needs the catalog.
+    std::vector<std::string> never_booted(io::Micros monotonic_now) const;
 
   private:
+    struct KnownInstance {
+        core::Instance instance;
+        io::Micros requested_at{0};    // as far as the cloud's list tells; 0: only just added
+        io::Micros last_listed_at{0};  // when a list last showed it
+        bool was_listed = false;
+    };
+
     io::Micros boot_time(const KnownInstance& known) const;
-    bool overdue(const KnownInstance& known, io::Micros now) const;
-    bool never_came_up(const KnownInstance& known, io::Micros now) const;
-    bool is_gone(const std::string& machine, const KnownInstance& known, const Listed& listed,
-                 io::Micros now) const;
+    bool has_sent_heartbeat(const std::string& machine) const;
+    bool is_gone(const std::string& machine, const KnownInstance& known, const InstancesByMachine& listed,
+                 io::Micros monotonic_now) const;
 
     const Settings& settings_;
     const std::optional<core::Catalog>& catalog_;
     const WorkerStatus& workers_;
     CloudClient& cloud_;
-    std::map<std::string, KnownInstance> known_;
+    std::map<std::string, KnownInstance> known_;  // by machine
 };
 
 }  // namespace hatchwind::controller
--- /dev/null
+++ b/src/scaling/leader_term.hpp
@@ -0,0 +1,21 @@
+/// The term of a cluster leader, as scaling sees it: how long it has led decides what it may conclude from
+/// what it hasn't seen.
+#pragma once
+
+#include <cstdint>
+
+#include "core/time.hpp"
+
+namespace hatchwind::controller {
+
+/// Written by ScalingController alone. Times are monotonic.
+struct LeaderTerm {
+    std::uint64_t last_led_epoch = 0;  ///< number of the epoch in which this controller last led; 0: none
+    core::Micros started_at{0};        ///< since when it leads, over epochs that follow one another
+    /// The cloud's list of instances was read whole in this term.
+    bool inventory_read = false;
+
+    core::Micros length(core::Micros monotonic_now) const { return monotonic_now - started_at; }
+};
+
+}  // namespace hatchwind::controller
--- a/src/scaling/scale_in.cpp
+++ b/src/scaling/scale_in.cpp
@@ -3,7 +3,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <set>
 #include <utility>
 
 #include "core/failure_detection.hpp"
@@ -16,80 +15,104 @@
 using io::Task;
 
 namespace {
-constexpr std::size_t kMostPerRequest = 100;
-// For a mark to reach the others' cluster views.
-constexpr Micros kMarkSpreads{500'000};
-constexpr Micros kLongTerm{10'000'000};
-constexpr Micros kSilentReleaseSpan{60'000'000};
-// Marks of machines that are gone do no harm, so several go in one write.
-constexpr std::size_t kMarksWorthAWrite = 20;
-constexpr Micros kMarksKept{10'000'000};
+// For a cordon to reach the other controllers' cluster views.
+constexpr Micros kCordonPropagation{500'000};
+// A leader this long in its term has heard of the instances that earlier leaders requested.
+constexpr Micros kTermKnowsInstances{10'000'000};
+constexpr Micros kUnresponsiveReleaseWindow{60'000'000};
+// Cordons of machines that are gone do no harm, so several are removed in one write, or all after some time.
+constexpr std::size_t kStaleCordonsWorthWrite = 20;
+constexpr Micros kLongestStaleCordon{10'000'000};
+// After so many times the lag of the cloud's list, and this margin, the list shows all that there is.
+constexpr double kLagsUntilListSettled = 2;
+constexpr double kListSettledMarginSeconds = 10;
 }  // namespace
 
-std::vector<std::string> ScaleIn::due(Micros now, Micros term_began) {
-    std::vector<std::string> due;
-    add_drained(due, now);
-    const auto failed = inventory_.failed(now, now - term_began > kLongTerm);
-    due.insert(due.end(), failed.begin(), failed.end());
-    add_silent(due, now, term_began);
+std::vector<std::string> ScaleIn::machines_to_release(Micros monotonic_now, const LeaderTerm& term) {
+    std::vector<std::string> due = context_.inventory.failed();
+    add_drained(due, monotonic_now);
+    if (term.length(monotonic_now) > kTermKnowsInstances) {
+        const auto never_booted = context_.inventory.never_booted(monotonic_now);
+        due.insert(due.end(), never_booted.begin(), never_booted.end());
+    }
+    add_unresponsive(due, monotonic_now, term);
     std::sort(due.begin(), due.end());
     due.erase(std::unique(due.begin(), due.end()), due.end());
-    if (due.size() > kMostPerRequest) due.resize(kMostPerRequest);
+    due.resize(std::min(due.size(), CloudClient::kMostReleasedPerRequest));
     return due;
 }
 
-void ScaleIn::add_drained(std::vector<std::string>& due, Micros now) {
-    for (const auto& machine : replicated_.draining()) {
-        if (workers_.cluster_view().released(machine) || workers_.cluster_view().find(machine) == nullptr)
-            continue;
-        if (!replicated_.job_table().on_machine(machine).empty()) {
-            emptied_.erase(machine);
+void ScaleIn::add_drained(std::vector<std::string>& due, Micros monotonic_now) {
+    const core::ClusterView& cluster_view = context_.workers.cluster_view();
+    for (const auto& machine : context_.replicated.draining()) {
+        if (cluster_view.released(machine) || cluster_view.find(machine) == nullptr) continue;
+        if (!context_.replicated.job_table().on_machine(machine).empty()) {
+            empty_since_.erase(machine);
             continue;
         }
-        const auto emptied = emptied_.try_emplace(machine, now).first;
-        if (now - emptied->second >= kMarkSpreads) due.push_back(machine);
+        const Micros empty_since = empty_since_.try_emplace(machine, monotonic_now).first->second;
+        if (monotonic_now - empty_since >= kCordonPropagation) due.push_back(machine);
     }
 }
 
-Micros ScaleIn::silent_for(const std::string& machine, const core::MachineView& view, Micros now) const {
-    const Micros silent = now - view.last_heartbeat_at;
-    // One that only sends is as good as silent: nothing can be started or stopped on it.
-    const ProbeState* probe = probes_.find(machine);
-    if (!health_.healthy || probe == nullptr || probe->unanswered_since.count() == 0) return silent;
-    return std::max(silent, now - probe->unanswered_since);
+Micros ScaleIn::unresponsive_for(const std::string& machine, const core::MachineView& view,
+                                 Micros monotonic_now) const {
+    const Micros without_heartbeat = monotonic_now - view.last_heartbeat_at;
+    // One that sends heartbeats but answers nothing counts too: nothing can be started or stopped on it. The
+    // fault may lie with this controller, unless it is healthy.
+    const ProbeState* probe = context_.probes.find(machine);
+    const bool answers = probe == nullptr || probe->unanswered_since.count() == 0;
+    if (!context_.health.healthy || answers) return without_heartbeat;
+    return std::max(without_heartbeat, monotonic_now - probe->unanswered_since);
 }
 
-void ScaleIn::add_silent(std::vector<std::string>& due, Micros now, Micros term_began) {
+void ScaleIn::add_unresponsive(std::vector<std::string>& due, Micros monotonic_now, const LeaderTerm& term) {
     std::vector<core::SilentMachine> machines;
-    for (const auto& [machine, view] : workers_.cluster_view().machines()) {
-        // Not before this leader has had the time to hear them all.
-        const Micros silent = std::min(silent_for(machine, view, now), now - term_began);
-        machines.push_back({machine, silent, !replicated_.job_table().on_machine(machine).empty()});
+    for (const auto& [machine, view] : context_.workers.cluster_view().machines()) {
+        // No longer than this leader's term: before, it may only not have received their heartbeats.
+        const Micros unresponsive =
+            std::min(unresponsive_for(machine, view, monotonic_now), term.length(monotonic_now));
+        const bool has_tasks = !context_.replicated.job_table().on_machine(machine).empty();
+        machines.push_back({machine, unresponsive, has_tasks});
     }
-    std::erase_if(silent_released_, [&](Micros at) { return now - at > kSilentReleaseSpan; });
-    const auto silent = core::releasable(machines, tunables_.silent_release, silent_released_.size());
-    if (silent.empty()) return;
-    spdlog::info("event=unresponsive_machines_released count={} standing={}", silent.size(), machines.size());
-    due.insert(due.end(), silent.begin(), silent.end());
-    silent_released_.insert(silent_released_.end(), silent.size(), now);
+    std::erase_if(unresponsive_released_at_, [&](Micros released_at) {
+        return monotonic_now - released_at > kUnresponsiveReleaseWindow;
+    });
+    const auto releasable =
+        core::releasable(machines, context_.tunables.silent_release, unresponsive_released_at_.size());
+    if (releasable.empty()) return;
+    spdlog::info("event=unresponsive_machines_released count={} standing={}", releasable.size(),
+                 machines.size());
+    due.insert(due.end(), releasable.begin(), releasable.end());
+    unresponsive_released_at_.insert(unresponsive_released_at_.end(), releasable.size(), monotonic_now);
 }
 
-Task<void> ScaleIn::clear_marks(Micros now, Micros term_began, bool list_fresh) {
-    const bool list_settled = list_fresh && now - term_began > from_seconds(settings_.list_lag_s * 2 + 10);
-    std::set<std::string> marks = replicated_.draining();
-    std::erase_if(marks, [&](const std::string& machine) {
-        if (workers_.cluster_view().released(machine)) return true;
-        return workers_.cluster_view().find(machine) == nullptr && list_settled &&
-               !inventory_.contains(machine);
+std::set<std::string> ScaleIn::cordons_still_needed(Micros monotonic_now, const LeaderTerm& term) const {
+    const Micros list_settles_after =
+        from_seconds(context_.settings.list_lag_s * kLagsUntilListSettled + kListSettledMarginSeconds);
+    const bool list_settled = term.inventory_read && term.length(monotonic_now) > list_settles_after;
+    const core::ClusterView& cluster_view = context_.workers.cluster_view();
+    std::set<std::string> cordoned = context_.replicated.draining();
+    std::erase_if(cordoned, [&](const std::string& machine) {
+        if (cluster_view.released(machine)) return true;
+        const bool in_view = cluster_view.find(machine) != nullptr;
+        return !in_view && list_settled && !context_.inventory.contains(machine);
     });
-    std::erase_if(emptied_, [&](const auto& emptied) { return !marks.contains(emptied.first); });
-    const std::size_t gone = replicated_.draining().size() - marks.size();
-    const bool worth_a_write = gone >= kMarksWorthAWrite || now - marks_cleared_ > kMarksKept;
-    if (gone == 0 || !worth_a_write) co_return;
-    if (!leadership_.is_cluster_leader() || !store_.reachable(steady_now())) co_return;
-    marks_cleared_ = now;
-    auto task = cordons_.write(std::move(marks));
-    co_await std::move(task);
+    return cordoned;
+}
+
+Task<void> ScaleIn::remove_stale_cordons(Micros monotonic_now, LeaderTerm term) {
+    std::set<std::string> cordoned = cordons_still_needed(monotonic_now, term);
+    std::erase_if(empty_since_, [&](const auto& entry) { return !cordoned.contains(entry.first); });
+    const std::size_t stale = context_.replicated.draining().size() - cordoned.size();
+    if (stale == 0) co_return;
+    const bool worth_write =
+        stale >= kStaleCordonsWorthWrite || monotonic_now - cordons_removed_at_ > kLongestStaleCordon;
+    if (!worth_write) co_return;
+    if (!context_.leadership.is_cluster_leader() || !context_.store.reachable(steady_now())) co_return;
+    cordons_removed_at_ = monotonic_now;
+    auto replacing = context_.cordons.replace(std::move(cordoned));
+    co_await std::move(replacing);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scaling/scale_in.hpp
+++ b/src/scaling/scale_in.hpp
@@ -1,8 +1,9 @@
-// Giving machines back to the cloud: those that are drained, those that never came up, and those that are
-// silent.
+/// Scaling in: which machines to release to the cloud (those that are drained, those that never booted, and
+/// unresponsive ones), and which cordons have become needless.
 #pragma once
 
 #include <map>
+#include <set>
 #include <string>
 #include <vector>
 
@@ -11,6 +12,7 @@
 #include "config/settings.hpp"
 #include "scaling/cordon_record.hpp"
 #include "scaling/instance_inventory.hpp"
+#include "scaling/leader_term.hpp"
 #include "store/replicated_state.hpp"
 #include "store/store_client.hpp"
 #include "workers/reachability_probes.hpp"
@@ -18,47 +20,44 @@
 
 namespace hatchwind::controller {
 
+/// What scaling in reads, and what it changes.
+struct ScaleInContext {
+    const Settings& settings;
+    const Tunables& tunables;
+    const StoreClient& store;
+    const ReplicatedState& replicated;
+    const Leadership& leadership;
+    const WorkerStatus& workers;
+    const ReachabilityProbes& probes;
+    const LocalHealth& health;
+    const InstanceInventory& inventory;
+    CordonRecord& cordons;
+};
+
+/// Decides only; ScalingController releases what is due. Times are monotonic.
 class ScaleIn {
   public:
-    ScaleIn(const Settings& settings, const Tunables& tunables, const StoreClient& store,
-            const ReplicatedState& replicated, const Leadership& leadership, const WorkerStatus& workers,
-            const ReachabilityProbes& probes, const LocalHealth& health, const InstanceInventory& inventory,
-            CordonRecord& cordons)
-        : settings_(settings),
-          tunables_(tunables),
-          store_(store),
-          replicated_(replicated),
-          leadership_(leadership),
-          workers_(workers),
-          probes_(probes),
-          health_(health),
-          inventory_(inventory),
-          cordons_(cordons) {}
+    explicit ScaleIn(const ScaleInContext& context) : context_(context) {}
 
-    // What is to be given back now; `term_began`: since when this node leads.
-    std::vector<std::string> due(io::Micros now, io::Micros term_began);
-    // Takes away the marks of machines that are gone. `list_fresh`: the cloud's list was read in this term.
-    io::Task<void> clear_marks(io::Micros now, io::Micros term_began, bool list_fresh);
-    void pause() { emptied_.clear(); }
+    /// Machines to release now, in ascending order, and no more than one request to the cloud may name. Needs
+    /// the catalog.
+    std::vector<std::string> machines_to_release(io::Micros monotonic_now, const LeaderTerm& term);
+    /// Removes the cordons of machines that are gone, once that is worth a write to the store.
+    io::Task<void> remove_stale_cordons(io::Micros monotonic_now, LeaderTerm term);
+    /// This controller doesn't lead for now: since when machines are empty has to be seen anew.
+    void pause() { empty_since_.clear(); }
 
   private:
-    void add_drained(std::vector<std::string>& due, io::Micros now);
-    void add_silent(std::vector<std::string>& due, io::Micros now, io::Micros term_began);
-    io::Micros silent_for(const std::string& machine, const core::MachineView& view, io::Micros now) const;
-
-    const Settings& settings_;
-    const Tunables& tunables_;
-    const StoreClient& store_;
-    const ReplicatedState& replicated_;
-    const Leadership& leadership_;
-    const WorkerStatus& workers_;
-    const ReachabilityProbes& probes_;
-    const LocalHealth& health_;
-    const InstanceInventory& inventory_;
-    CordonRecord& cordons_;
-    std::map<std::string, io::Micros> emptied_;  // draining machines without tasks: since when; steady
-    std::vector<io::Micros> silent_released_;    // when, within the last minute; steady
-    io::Micros marks_cleared_{0};                // steady: when that was last done
+    void add_drained(std::vector<std::string>& due, io::Micros monotonic_now);
+    void add_unresponsive(std::vector<std::string>& due, io::Micros monotonic_now, const LeaderTerm& term);
+    io::Micros unresponsive_for(const std::string& machine, const core::MachineView& view,
+                                io::Micros monotonic_now) const;
+    std::set<std::string> cordons_still_needed(io::Micros monotonic_now, const LeaderTerm& term) const;
+
+    const ScaleInContext context_;
+    std::map<std::string, io::Micros> empty_since_;     // cordoned machines without recorded attempts
+    std::vector<io::Micros> unresponsive_released_at_;  // one for each machine, within the last minute
+    io::Micros cordons_removed_at_{0};                  // the last write that removed any
 };
 
 }  // namespace hatchwind::controller
--- a/src/scaling/scale_out.hpp
+++ b/src/scaling/scale_out.hpp
@@ -1,8 +1,8 @@
-// Scaling out: asks the cloud for what the fleet planner wants, pool by pool, with a backoff for pools that
-// refuse.
+/// Scaling out: requests from the cloud what the scale-out planner wants, pool by pool, with a backoff for
+/// pools that refuse.
 #pragma once
 
-#include <map>
+#include <cstdint>
 #include <optional>
 #include <string>
 
@@ -13,54 +13,49 @@
 #include "core/scale_out_planner.hpp"
 #include "scaling/cloud_client.hpp"
 #include "scaling/instance_inventory.hpp"
+#include "scaling/pool_backoff.hpp"
 #include "store/replicated_state.hpp"
 #include "workers/worker_status.hpp"
 
 namespace hatchwind::controller {
 
+/// What scaling out reads, and what it changes.
+struct ScaleOutContext {
+    const Settings& settings;
+    const Tunables& tunables;
+    const std::optional<core::Catalog>& catalog;
+    const ReplicatedState& replicated;
+    const Leadership& leadership;
+    const WorkerStatus& workers;
+    core::FreeCapacityCache& free_capacity_cache;
+    CloudClient& cloud;
+    InstanceInventory& inventory;
+};
+
+/// Owns the backoff of the pools. Times are monotonic.
 class ScaleOut {
   public:
-    ScaleOut(const Settings& settings, const Tunables& tunables, const std::optional<core::Catalog>& catalog,
-             const ReplicatedState& replicated, const Leadership& leadership, const WorkerStatus& workers,
-             core::FreeCapacityCache& free_capacity_cache, CloudClient& cloud, InstanceInventory& inventory)
-        : settings_(settings),
-          tunables_(tunables),
-          catalog_(catalog),
-          replicated_(replicated),
-          leadership_(leadership),
-          workers_(workers),
-          free_capacity_cache_(free_capacity_cache),
-          cloud_(cloud),
-          inventory_(inventory) {}
+    explicit ScaleOut(const ScaleOutContext& context)
+        : context_(context), backoff_(context.settings, context.catalog) {}
 
-    // Plans once and rents what is wanted, as long as this node leads.
-    io::Task<void> round();
-    // How long the last plan took; bounded.
-    io::Micros last_plan() const { return last_plan_; }
-    // A machine of the pool was given back: where one was, there is a place for one.
-    void pool_freed(const core::InstancePool& pool);
+    /// Plans once and requests what is wanted, as long as this controller leads. Needs the catalog.
+    io::Task<void> run_round();
+    /// How long the last round's plan took; one that took very long counts as less.
+    io::Micros last_plan_duration() const { return last_plan_duration_; }
+    /// An instance of the pool was released: where one was, there is a place for one.
+    void record_released(const core::InstancePool& pool) { backoff_.reset(pool); }
 
   private:
-    core::ScaleOutInput scale_out_input(io::Micros now) const;
+    core::ScaleOutInput scale_out_input(io::Micros monotonic_now) const;
     core::ScaleOutSettings scale_out_settings() const;
-    std::string next_request();
-    io::Task<void> rent_from(core::InstancePool pool, unsigned number);
-    void take_reply(const core::InstancePool& pool, unsigned number, const io::HttpReply& reply);
-    void back_off(const core::InstancePool& pool);
-
-    const Settings& settings_;
-    const Tunables& tunables_;
-    const std::optional<core::Catalog>& catalog_;
-    const ReplicatedState& replicated_;
-    const Leadership& leadership_;
-    const WorkerStatus& workers_;
-    core::FreeCapacityCache& free_capacity_cache_;
-    CloudClient& cloud_;
-    InstanceInventory& inventory_;
-    std::map<core::InstancePool, io::Micros> refused_until_;  // steady
-    std::map<core::InstancePool, int> refusals_;
-    std::uint64_t request_ = 0;
-    io::Micros last_plan_{0};
+    std::string next_request_id();
+    io::Task<void> request_instances(core::InstancePool pool, std::uint32_t wanted);
+    void apply_reply(const core::InstancePool& pool, std::uint32_t wanted, const io::HttpReply& reply);
+
+    const ScaleOutContext context_;
+    PoolBackoff backoff_;
+    std::uint64_t last_request_number_ = 0;
+    io::Micros last_plan_duration_{0};
 };
 
 }  // namespace hatchwind::controller
--- a/src/scaling/scaling_controller.hpp
+++ b/src/scaling/scaling_controller.hpp
@@ -1,5 +1,5 @@
-// The leader's duty: the cloud. These are the loops; the list of instances, renting, drains and giving back
-// are modules of their own.
+/// The cluster leader's work with the cloud: the loops that read its catalog and its list of instances, scale
+/// out, drain and scale in. What each loop does in a round is a module of its own.
 #pragma once
 
 #include <optional>
@@ -14,6 +14,7 @@
 #include "scaling/cordon_record.hpp"
 #include "scaling/eviction_controller.hpp"
 #include "scaling/instance_inventory.hpp"
+#include "scaling/leader_term.hpp"
 #include "scaling/scale_in.hpp"
 #include "scaling/scale_out.hpp"
 #include "store/change_signals.hpp"
@@ -33,35 +34,42 @@
     const Leadership& leadership;
     const ReachabilityProbes& probes;
     const LocalHealth& health;
-    StoreClient& store;
-    Replica& replica;
-    WorkerStatus& workers;
+    StoreClient& store;     // commits cordons
+    Replica& replica;       // is brought up to date by these commits
+    WorkerStatus& workers;  // drain candidates, and machines that were released
     std::optional<core::Catalog>& catalog;
     core::FreeCapacityCache& free_capacity_cache;
     ChangeSignals& signals;
     io::HttpClient& cloud_http;
 };
 
+/// Owns the inventory, the cordons' record and this controller's term as a leader; the only writer of the
+/// catalog. Times are monotonic.
 class ScalingController {
   public:
     explicit ScalingController(const ScalingContext& context);
-    // Every node needs the machine types, for submissions too.
-    io::Task<void> keep_catalog();
-    io::Task<void> keep_list();
-    io::Task<void> scale_out();
-    io::Task<void> drain();
-    io::Task<void> scale_in();
-    // Gives machines back to the cloud; true once it has confirmed that they are gone. Any node may call it.
+
+    /// Starts the loops in that scope. All but the catalog's rest while another controller leads.
+    void start(io::Scope& scope);
+    /// Releases machines to the cloud; true once it has confirmed that they are gone. Any controller may call
+    /// it. False: no confirmation came, and they may be gone all the same.
     io::Task<bool> release(std::vector<std::string> machines);
 
   private:
-    io::Task<void> read_catalog();
-    // Returns how many machines the cloud listed.
-    io::Task<std::size_t> read_list();
-    std::vector<std::string> vanished_machines() const;
-    io::Task<void> release_in_batches(std::vector<std::string> machines);
+    io::Task<void> run_catalog_refresh();
+    io::Task<void> run_inventory_refresh();
+    io::Task<void> run_scale_out();
+    io::Task<void> run_drains();
+    io::Task<void> run_scale_in();
+
+    io::Task<void> refresh_catalog();
+    /// Returns how many instances the cloud listed.
+    io::Task<std::size_t> refresh_inventory();
     void start_term();
     void record_epoch();
+    std::vector<std::string> vanished_machines() const;
+    io::Task<void> release_in_batches(std::vector<std::string> machines);
+    io::Task<void> scale_in_once();
 
     const ScalingContext context_;
     CloudClient cloud_;
@@ -70,9 +78,7 @@
     CordonRecord cordons_;
     EvictionController evictions_;
     ScaleIn scale_in_;
-    std::uint64_t epoch_ = 0;   // that this node last led in
-    io::Micros term_began_{0};  // steady: since when it leads, over epochs that follow one another
-    bool list_fresh_ = false;   // the cloud's list was read in this term
+    LeaderTerm term_;
 };
 
 }  // namespace hatchwind::controller
