--- a/src/api/http_router.hpp
+++ b/src/api/http_router.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "api/user_api.hpp"
-#include "io/http.hpp"
+#include "io/http_message.hpp"
 #include "io/task.hpp"
 #include "workers/heartbeat_handler.hpp"
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -11,16 +11,17 @@
 
 // What workers, store, cloud and peers need goes out through sockets of their own: a quarter of them to
 // workers, five eighths for incoming connections. A connection's buffers take some 8 KiB.
-io::HttpLimits http_limits(const Settings& settings) {
+io::HttpServerLimits http_limits(const Settings& settings) {
     constexpr std::size_t kLeastConnections = 64;
     constexpr double kKilobytesPerMegabyte = 1024;
     constexpr double kMemoryPart = 1.0 / 2;
     constexpr double kKilobytesPerConnection = 32;
     const auto by_memory = static_cast<std::size_t>(settings.memory_mb * kKilobytesPerMegabyte * kMemoryPart /
                                                     kKilobytesPerConnection);
-    io::HttpLimits limits;
-    limits.connections = std::min(settings.max_connections * 5 / 8, std::max(by_memory, kLeastConnections));
-    limits.kept = limits.connections * 3 / 4;
+    io::HttpServerLimits limits;
+    limits.max_connections =
+        std::min(settings.max_connections * 5 / 8, std::max(by_memory, kLeastConnections));
+    limits.max_kept_connections = limits.max_connections * 3 / 4;
     return limits;
 }
 }  // namespace
--- a/src/emulator/cloud.hpp
+++ b/src/emulator/cloud.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "emulator/task_runner.hpp"
-#include "io/http.hpp"
+#include "io/http_server.hpp"
 
 namespace hatchwind::emulator {
 
--- a/src/emulator/connection.cpp
+++ b/src/emulator/connection.cpp
@@ -83,7 +83,7 @@
     return shut_ || reset() || way.ended || way.read < way.arrived.size();
 }
 
-void SimulatedStream::shut() {
+void SimulatedStream::shut_down() {
     if (std::exchange(shut_, true)) return;
     if (!reset()) network_.transmit({connection_, end_, Packet::Kind::end, {}});
     readable.notify_all();
--- a/src/emulator/connection.hpp
+++ b/src/emulator/connection.hpp
@@ -37,7 +37,7 @@
     io::Transfer receive(char* into, std::size_t capacity) override;
     io::Transfer send(std::string_view data) override;
     bool has_input() const override;
-    void shut() override;
+    void shut_down() override;
     bool is_shut() const { return shut_; }
 
   private:
--- a/src/emulator/load_balancer.cpp
+++ b/src/emulator/load_balancer.cpp
@@ -86,8 +86,8 @@
         const Micros begun = io::steady_now();
         const io::Address address = nodes_[index].node.address;
         auto sending = client_.send(address, "GET", "/healthz", "", begun + probe_patience);
-        const io::HttpReply reply = co_await std::move(sending);
-        note_probe(nodes_[index], reply.status == ok, io::steady_now());
+        const io::HttpResult reply = co_await std::move(sending);
+        note_probe(nodes_[index], reply.has_status(ok), io::steady_now());
         const Micros jitter = random_.between(Micros{-50'000}, Micros{50'000});
         co_await loop_.sleep_until(std::max(begun + probe_every + jitter, io::steady_now() + Micros{1}));
     }
--- a/src/emulator/load_balancer.hpp
+++ b/src/emulator/load_balancer.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "emulator/worker.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 
 namespace hatchwind::emulator {
 
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -13,8 +13,8 @@
 constexpr std::array<std::string_view, 5> kKindNames{"open", "opened", "data", "end", "reset"};
 }  // namespace
 
-io::Task<std::optional<io::Socket>> HostNetwork::connect(io::Loop& /*loop*/, io::Address to,
-                                                         Micros deadline) {
+io::Task<io::Result<io::Socket, io::IoError>> HostNetwork::connect(io::Loop& /*loop*/, io::Address to,
+                                                                   Micros deadline) {
     auto connection = std::make_shared<Connection>();
     connection->hosts = {&host_, network_.world_.find_host(to.ip)};
     connection->to = to;
@@ -22,7 +22,8 @@
     // Nobody has that address: nobody answers.
     if (connection->hosts[1] != nullptr) network_.transmit({connection, 0, Packet::Kind::open, {}});
     const bool decided = co_await stream->writable.wait(deadline);
-    if (!decided || !connection->opened) co_return std::nullopt;
+    if (!decided) co_return io::IoError::timed_out;
+    if (!connection->opened) co_return io::IoError::failed;
     co_return io::Socket{std::move(stream)};
 }
 
--- a/src/emulator/state_service.cpp
+++ b/src/emulator/state_service.cpp
@@ -46,11 +46,11 @@
     return value;
 }
 
-io::HttpLimits http_limits() {
-    io::HttpLimits limits;
-    limits.body_bytes = 1U << 20U;
-    limits.connections = 4096;
-    limits.kept = 4096;
+io::HttpServerLimits http_limits() {
+    io::HttpServerLimits limits;
+    limits.max_body_bytes = 1U << 20U;
+    limits.max_connections = 4096;
+    limits.max_kept_connections = 4096;
     return limits;
 }
 
--- a/src/emulator/state_service.hpp
+++ b/src/emulator/state_service.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "emulator/store.hpp"
-#include "io/http.hpp"
+#include "io/http_server.hpp"
 
 namespace hatchwind::emulator {
 
--- a/src/emulator/users.cpp
+++ b/src/emulator/users.cpp
@@ -7,6 +7,7 @@
 namespace hatchwind::emulator {
 
 namespace {
+constexpr int no_answer = 0;
 constexpr int ok = 200;
 constexpr int created = 201;
 constexpr int bad_request = 400;
@@ -174,7 +175,7 @@
         auto connection = std::move(idle_.back());
         idle_.pop_back();
         if (connection->open()) return connection;
-        client_.forget(connection->node().address);
+        client_.close_idle(connection->node().address);
     }
     return balancer_.open();
 }
@@ -186,28 +187,28 @@
         if (connection == nullptr) break;
         const NodeAddress node = connection->node();
         auto sending = send(node.address, request);
-        const io::HttpReply reply = co_await std::move(sending);
-        if (reply.status == 0 && reply.never_sent) {
+        const io::HttpResult reply = co_await std::move(sending);
+        if (reply.never_sent()) {
             connection->refused();
             continue;
         }
         connection->accepted();
         const bool keep =
-            reply.status != 0 && idle_.size() < config_.connections && random_.chance(keep_connection);
+            reply.has_value() && idle_.size() < config_.connections && random_.chance(keep_connection);
         if (keep) idle_.push_back(std::move(connection));
         co_return note(node.label, request, sent_at, reply);
     }
-    co_return note("no node", request, sent_at, {});
+    co_return note("no node", request, sent_at, io::HttpError::connect_failed);
 }
 
 io::Task<Users::Answer> Users::ask_node(NodeAddress node, Request request) {
     const Micros sent_at = recorder_.now();
     auto sending = send(node.address, request);
-    const io::HttpReply reply = co_await std::move(sending);
+    const io::HttpResult reply = co_await std::move(sending);
     co_return note(node.label, request, sent_at, reply);
 }
 
-io::Task<io::HttpReply> Users::send(io::Address node, const Request& request) {
+io::Task<io::HttpResult> Users::send(io::Address node, const Request& request) {
     const bool poll = request.kind == RequestKind::poll;
     std::string target = "/api/jobs";
     if (request.kind != RequestKind::submit) target += "/" + request.job;
@@ -215,23 +216,23 @@
     const std::string method = poll ? "GET" : "POST";
     const Micros deadline = io::steady_now() + request.patience;
     auto sending = client_.send(node, method, target, request.body, deadline);
-    io::HttpReply reply = co_await std::move(sending);
+    const io::HttpResult reply = co_await std::move(sending);
     co_return reply;
 }
 
 Users::Answer Users::note(const std::string& node, const Request& request, Micros sent_at,
-                          const io::HttpReply& reply) {
+                          const io::HttpResult& reply) {
     Answer answer;
-    answer.status = reply.status;
-    answer.retry_after_s = reply.retry_after_s;
-    const bool positive = reply.status == ok || reply.status == created;
-    const auto body = positive ? wire::decode(reply.body) : std::nullopt;
+    answer.status = reply.status_or(no_answer);
+    answer.retry_after_s = reply ? reply->retry_after_s : 0;
+    const bool positive = reply.has_status(ok) || reply.has_status(created);
+    const auto body = positive ? wire::decode(reply->body) : std::nullopt;
     if (body && body->is_object()) answer.told = parse_status(*body);
-    const bool refused = reply.status == bad_request || reply.status == unprocessable;
+    const bool refused = reply.has_status(bad_request) || reply.has_status(unprocessable);
     if (request.kind == RequestKind::submit) answer.definite = positive || refused;
     if (request.kind == RequestKind::cancel)
-        answer.definite = answer.told.has_value() || reply.status == not_found;
-    recorder_.record(UserAnswer{request.kind, request.job, node, sent_at, reply.status, answer.told});
+        answer.definite = answer.told.has_value() || reply.has_status(not_found);
+    recorder_.record(UserAnswer{request.kind, request.job, node, sent_at, answer.status, answer.told});
     return answer;
 }
 
--- a/src/emulator/users.hpp
+++ b/src/emulator/users.hpp
@@ -78,8 +78,8 @@
     io::Task<Answer> repeat(Request request, Micros for_time);
     io::Task<Answer> ask(Request request);
     io::Task<Answer> ask_node(NodeAddress node, Request request);
-    io::Task<io::HttpReply> send(io::Address node, const Request& request);
-    Answer note(const std::string& node, const Request& request, Micros sent_at, const io::HttpReply& reply);
+    io::Task<io::HttpResult> send(io::Address node, const Request& request);
+    Answer note(const std::string& node, const Request& request, Micros sent_at, const io::HttpResult& reply);
     void look_closely(const std::string& job);
     io::Task<void> look_at(NodeAddress node, Request request, Micros delay);
     io::Task<void> ask_later(std::string job);
--- a/src/emulator/worker.cpp
+++ b/src/emulator/worker.cpp
@@ -132,7 +132,7 @@
     const Micros quarter = world_.times.report / 4;
     next_regular_ = sent_at + random_.between(world_.times.report - quarter, world_.times.report + quarter);
     const std::string body = next_report();
-    io::HttpReply reply;
+    io::HttpResult reply = io::HttpError::timed_out;
     if (mute_) {
         co_await loop_.sleep_until(sent_at + answer_patience);
     } else {
@@ -142,20 +142,20 @@
         reply = co_await std::move(sending);
     }
     if (deaf_) {
-        reply = {};
+        reply = io::HttpError::timed_out;
         co_await loop_.sleep_until(sent_at + answer_patience);
     }
     while (hung_) co_await resumed_.wait();
-    if (io::steady_now() - sent_at > answer_patience) reply = {};
+    if (io::steady_now() - sent_at > answer_patience) reply = io::HttpError::timed_out;
     take_answer(reply, session_sent, sent_at);
 }
 
-void Worker::take_answer(const io::HttpReply& reply, std::uint64_t session_sent, Micros sent_at) {
+void Worker::take_answer(const io::HttpResult& reply, std::uint64_t session_sent, Micros sent_at) {
     const Micros now = io::steady_now();
     end_session_if_over(now);
-    if (reply.status == misdirected) return redirect(reply, now);
-    if (reply.status != ok) return try_next(now);
-    const auto body = wire::decode(reply.body);
+    if (reply.has_status(misdirected)) return redirect(reply, now);
+    if (!reply.has_status(ok)) return try_next(now);
+    const auto body = wire::decode(reply->body);
     if (!body) return;
     const CommandBatch batch = parse_commands(*body);
     if (session_sent != session_ || !batch.fencing_token || *batch.fencing_token < fencing_token_) return;
@@ -164,21 +164,21 @@
     execute(batch);
 }
 
-void Worker::redirect(const io::HttpReply& reply, Micros now) {
-    const auto body = wire::decode(reply.body);
+void Worker::redirect(const io::HttpResult& reply, Micros now) {
+    const auto body = wire::decode(reply->body);
     const auto label = body ? parse_home(*body) : std::nullopt;
     const auto named = std::find_if(world_.nodes.begin(), world_.nodes.end(),
                                     [&](const NodeAddress& node) { return label && node.label == *label; });
     const auto index = static_cast<std::size_t>(named - world_.nodes.begin());
     if (named == world_.nodes.end() || index == home_) return try_next(now);
-    client_.forget(world_.nodes[home_].address);
+    client_.close_idle(world_.nodes[home_].address);
     home_ = index;
     next_regular_ = now + random_.between(Micros{0}, most_redirect_pause);
     not_before_ = next_regular_;
 }
 
 void Worker::try_next(Micros now) {
-    client_.forget(world_.nodes[home_].address);
+    client_.close_idle(world_.nodes[home_].address);
     home_ = (home_ + 1) % world_.nodes.size();
     next_regular_ = now + next_node_pause;
     not_before_ = next_regular_;
--- a/src/emulator/worker.hpp
+++ b/src/emulator/worker.hpp
@@ -16,7 +16,8 @@
 #include <vector>
 
 #include "emulator/task_runner.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
+#include "io/http_server.hpp"
 
 namespace hatchwind::emulator {
 
@@ -94,8 +95,8 @@
     io::Task<io::HttpResponse> handle(io::HttpRequest request);
     io::Task<io::HttpResponse> handle_orders(const io::HttpRequest& request);
 
-    void take_answer(const io::HttpReply& reply, std::uint64_t session_sent, Micros sent_at);
-    void redirect(const io::HttpReply& reply, Micros now);
+    void take_answer(const io::HttpResult& reply, std::uint64_t session_sent, Micros sent_at);
+    void redirect(const io::HttpResult& reply, Micros now);
     void try_next(Micros now);
     void copy_report(const std::string& body);
     bool entitled(const CommandBatch& batch) const;
--- a/src/io/http_responses.hpp
+++ b/src/io/http_responses.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <utility>
 
-#include "io/http.hpp"
+#include "io/http_message.hpp"
 #include "io/http_status.hpp"
 
 namespace hatchwind::io {
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -1,81 +1,80 @@
-// The event loop: epoll, monotonic timers and a queue of routines that are ready to go on. Its clock and its
-// transport can be replaced, so that the same routines run in simulated time; see src/emulator.
+/// The event loop: what coroutines wait for, and who resumes them.
+///
+/// One loop, one thread: whoever calls `run()` or `turn()`. Everything that is tied to a loop (signals,
+/// sockets, tasks) is used on that thread alone. The loop resumes coroutines in turns: first it readies those
+/// whose deadline has passed, by deadline, then it resumes all that were ready by then, in the order in which
+/// they became ready. What becomes ready meanwhile is resumed in the next turn.
+///
+/// The loop owns no coroutine: a suspended one is linked into its queues through a `Waiter` in its own frame
+/// (see `task.hpp` for ownership and cancellation). The loop must therefore outlive the scopes of its
+/// coroutines, its signals and its sockets.
+///
+/// Clock (`clock.hpp`) and transport (`transport.hpp`) can be replaced, so that the same coroutines run in
+/// simulated time.
 #pragma once
 
 #include <boost/intrusive/list.hpp>
 #include <boost/intrusive/set.hpp>
-#include <chrono>
 #include <coroutine>
 #include <cstdint>
 
-namespace hatchwind::io {
-
-using Micros = std::chrono::microseconds;
-
-// A source of both times.
-class Clock {
-  public:
-    virtual Micros steady() const = 0;
-    virtual Micros wall() const = 0;
+#include "io/clock.hpp"
 
-  protected:
-    ~Clock() = default;
-};
-// The clock that this thread reads from now on; null: the machine's own.
-void install_clock(const Clock* clock);
-
-// Steady time since an arbitrary start, in whole microseconds.
-Micros steady_now();
-// Time of day; within the deployment's skew of true time.
-Micros wall_now();
+namespace hatchwind::io {
 
-using UnlinkList =
+/// Hooks by which an object is a member of a list or set for as long as both live.
+using AutoUnlinkListHook =
     boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
-using UnlinkSet = boost::intrusive::set_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
+using AutoUnlinkSetHook =
+    boost::intrusive::set_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
 
-// One suspended routine. Both hooks unlink themselves, so destroying a suspended frame takes it out of
-// every queue: that is how cancellation works here.
-struct Waiter : UnlinkList, UnlinkSet {
+/// One suspended coroutine, in the queue of what it waits for and in the loop's timers. It lives in the
+/// coroutine's frame, and both hooks unlink themselves: destroying the frame takes it out of every queue,
+/// which is all that cancellation needs.
+struct Waiter : AutoUnlinkListHook, AutoUnlinkSetHook {
     std::coroutine_handle<> handle;
-    Micros deadline{Micros::max()};
-    bool timed_out = false;
+    Micros deadline{kNoDeadline};  ///< monotonic; it is resumed then at the latest
+    bool timed_out = false;        ///< it was resumed by the deadline
 
-    friend bool operator<(const Waiter& a, const Waiter& b) { return a.deadline < b.deadline; }
+    friend bool operator<(const Waiter& left, const Waiter& right) { return left.deadline < right.deadline; }
 };
 
-using WaiterList = boost::intrusive::list<Waiter, boost::intrusive::base_hook<UnlinkList>,
+using WaiterList = boost::intrusive::list<Waiter, boost::intrusive::base_hook<AutoUnlinkListHook>,
                                           boost::intrusive::constant_time_size<false>>;
-using TimerSet = boost::intrusive::multiset<Waiter, boost::intrusive::base_hook<UnlinkSet>,
+using TimerSet = boost::intrusive::multiset<Waiter, boost::intrusive::base_hook<AutoUnlinkSetHook>,
                                             boost::intrusive::constant_time_size<false>>;
 
 class Loop;
 class Transport;
 
-// Runs loops that don't wait by themselves; see Loop::turn().
+/// Runs a loop that does not wait by itself; see `Loop::turn()`.
 class LoopDriver {
   public:
-    // The loop has something to do earlier than it had.
+    /// `Loop::next_turn()` may be earlier than it was. Called in the middle of a turn too.
     virtual void wake() = 0;
 
   protected:
     ~LoopDriver() = default;
 };
 
-// Something that routines wait for. notify_all() readies every routine that waits at that moment.
+/// An event that coroutines wait for. It keeps no state: a notification that nobody waits for is lost, so
+/// waiters check their condition before they wait, and again after.
 class Signal {
   public:
     explicit Signal(Loop& loop) : loop_(&loop) {}
+    /// Readies every coroutine that waits at this moment. None of them runs before this returns.
     void notify_all();
 
     struct Awaiter : Waiter {
         Signal& signal;
-        Awaiter(Signal& s, Micros until) : signal(s) { deadline = until; }
+        Awaiter(Signal& awaited, Micros until) : signal(awaited) { deadline = until; }
         bool await_ready() const noexcept { return false; }
-        void await_suspend(std::coroutine_handle<> h);
-        // False when the deadline came first.
+        void await_suspend(std::coroutine_handle<> suspended);
         bool await_resume() const noexcept { return !timed_out; }
     };
-    Awaiter wait(Micros deadline = Micros::max()) { return Awaiter{*this, deadline}; }
+    /// Waits for the next notification, until `deadline` (monotonic). Awaiting it returns whether there was
+    /// one.
+    Awaiter wait(Micros deadline = kNoDeadline) { return Awaiter{*this, deadline}; }
 
   private:
     friend class Loop;
@@ -83,10 +82,14 @@
     WaiterList waiters_;
 };
 
-// Passes on what epoll reports for one descriptor, and owns the descriptor.
+/// Owns a file descriptor, and passes on to two signals what epoll reports about it. Edge-triggered: the
+/// signals are notified of changes, so a descriptor is used until it would block before its signal is waited
+/// for.
 class FdWatch {
   public:
+    /// Takes over `fd`, which is non-blocking. The signals must outlive the watch.
     FdWatch(Loop& loop, int fd, Signal& readable, Signal& writable);
+    /// Closes the descriptor.
     ~FdWatch();
     FdWatch(const FdWatch&) = delete;
     FdWatch& operator=(const FdWatch&) = delete;
@@ -102,33 +105,38 @@
 
 class Loop {
   public:
-    // On the machine's own clock and network.
+    /// A loop on the machine's own clock and network. Throws std::system_error when epoll can't be had.
     Loop();
-    // Driven from outside, in time that the driver makes: run() is not for such a loop.
+    /// A loop that `driver` runs by `turn()`, on the driver's clock; `run()` is not for it. Both must outlive
+    /// it.
     Loop(Transport& transport, LoopDriver& driver) : transport_(transport), driver_(&driver) {}
     ~Loop();
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
+    /// Takes turns, and waits for events and deadlines between them, until `stop()`.
     void run();
+    /// Ends `run()` once the current turn is over. For good: the loop does not run again.
     void stop() { stopping_ = true; }
-    // Runs what is due now, once; what that makes ready waits for the next turn.
+    /// Runs once what is due now; what that readies waits for the next turn.
     void turn();
-    // When the next turn is due: Micros::min() for at once, Micros::max() for never.
+    /// When the next turn is due, on the monotonic clock: `Micros::min()` for at once, `kNoDeadline` for
+    /// never.
     Micros next_turn() const;
     Transport& transport() const { return transport_; }
-    Micros now() const { return now_; }
 
     struct Sleep : Waiter {
         Loop& loop;
-        Sleep(Loop& l, Micros until) : loop(l) { deadline = until; }
+        Sleep(Loop& sleeping_on, Micros until) : loop(sleeping_on) { deadline = until; }
         bool await_ready() const noexcept { return false; }
-        void await_suspend(std::coroutine_handle<> h);
+        void await_suspend(std::coroutine_handle<> suspended);
         void await_resume() const noexcept {}
     };
-    Sleep sleep_until(Micros t) { return Sleep{*this, t}; }
-    Sleep sleep(Micros d) { return Sleep{*this, steady_now() + d}; }
-    // Lets every other ready routine go first; keeps long work from starving the connections.
+    /// Waits for a time of the monotonic clock.
+    Sleep sleep_until(Micros time) { return Sleep{*this, time}; }
+    /// Waits from now on for a duration.
+    Sleep sleep(Micros duration) { return Sleep{*this, steady_now() + duration}; }
+    /// Lets every other ready coroutine go first; keeps long work from starving the connections.
     Sleep yield() { return Sleep{*this, Micros{0}}; }
 
   private:
@@ -136,15 +144,16 @@
     friend class FdWatch;
     void add_timer(Waiter& waiter);
     void make_ready(Waiter& waiter);
-    void fire_timers();
-    void run_ready();
+    void ready_expired_timers();
+    void resume_ready();
+    int epoll_timeout_ms() const;
+    void wait_for_events();
 
     Transport& transport_;
     LoopDriver* driver_ = nullptr;  // null: run() waits by itself
-    int epoll_ = -1;
+    int epoll_fd_ = -1;             // -1: driven from outside
     bool stopping_ = false;
-    Micros now_{};
-    WaiterList ready_;
+    WaiterList ready_;  // in the order in which they became ready
     TimerSet timers_;
 };
 
--- a/src/io/tcp.cpp
+++ b/src/io/tcp.cpp
@@ -1,4 +1,4 @@
-// Non-blocking TCP over IPv4, watched by the loop's epoll.
+/// The transport of production: non-blocking TCP over IPv4, watched by the loop's epoll.
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -13,79 +13,92 @@
 
 namespace {
 
-sockaddr_in to_sockaddr(Address a) {
-    sockaddr_in s{};
-    s.sin_family = AF_INET;
-    s.sin_addr.s_addr = htonl(a.ip);
-    s.sin_port = htons(a.port);
-    return s;
+/// How long to wait before another connection is accepted when the process is out of descriptors.
+constexpr Micros kAcceptRetryInterval{100'000};
+
+sockaddr_in to_socket_address(Address address) {
+    sockaddr_in converted{};
+    converted.sin_family = AF_INET;
+    converted.sin_addr.s_addr = htonl(address.ip);
+    converted.sin_port = htons(address.port);
+    return converted;
 }
-void no_delay(int fd) {
-    const int one = 1;
-    ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+
+void enable_option(int fd, int level, int option) {
+    const int enabled = 1;
+    ::setsockopt(fd, level, option, &enabled, sizeof enabled);
 }
+/// Requests and responses are written whole, so waiting for more to send with them only delays them.
+void send_without_delay(int fd) { enable_option(fd, IPPROTO_TCP, TCP_NODELAY); }
+
+/// A new socket, or -1 with `errno`.
+int open_socket() { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
+
+/// Whether the call that just failed has to be repeated once the descriptor is ready.
 bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
 class TcpStream final : public Stream {
   public:
     TcpStream(Loop& loop, int fd) : Stream(loop), watch_(loop, fd, readable, writable) {}
 
-    Transfer receive(char* into, std::size_t capacity) override {
-        return moved([&] { return ::recv(watch_.fd(), into, capacity, 0); });
+    Transfer receive(char* destination, std::size_t capacity) override {
+        return transfer([&] { return ::recv(watch_.fd(), destination, capacity, 0); });
     }
     Transfer send(std::string_view data) override {
-        return moved([&] { return ::send(watch_.fd(), data.data(), data.size(), MSG_NOSIGNAL); });
+        return transfer([&] { return ::send(watch_.fd(), data.data(), data.size(), MSG_NOSIGNAL); });
     }
     bool has_input() const override {
-        char c = 0;
-        const auto n = ::recv(watch_.fd(), &c, 1, MSG_PEEK);
-        return n >= 0 || !would_block();
+        char next = 0;
+        const auto received = ::recv(watch_.fd(), &next, sizeof next, MSG_PEEK);
+        return received >= 0 || !would_block();
     }
-    void shut() override { ::shutdown(watch_.fd(), SHUT_RDWR); }
+    void shut_down() override { ::shutdown(watch_.fd(), SHUT_RDWR); }
 
-    // Starts connecting. False: failed at once. Otherwise the stream becomes writable when it is decided.
-    bool start_connect(Address to) {
-        const auto addr = to_sockaddr(to);
-        return ::connect(watch_.fd(), reinterpret_cast<const sockaddr*>(&addr), sizeof addr) == 0 ||
+    /// Starts connecting. False: failed at once. Otherwise the stream becomes writable when it is decided.
+    bool start_connecting(Address to) {
+        const auto address = to_socket_address(to);
+        return ::connect(watch_.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 ||
                errno == EINPROGRESS;
     }
-    bool connected() const {
+    /// Once it is decided: whether the connection was established.
+    bool is_connected() const {
         int error = 0;
         socklen_t length = sizeof error;
         return ::getsockopt(watch_.fd(), SOL_SOCKET, SO_ERROR, &error, &length) == 0 && error == 0;
     }
 
   private:
-    template <typename Call>
-    static Transfer moved(Call call) {
+    template <typename SystemCall>
+    static Transfer transfer(SystemCall system_call) {
         while (true) {
-            const auto n = call();
-            if (n >= 0) return {Transfer::Outcome::moved, static_cast<std::size_t>(n)};
+            const auto bytes = system_call();
+            if (bytes >= 0) return {Transfer::Outcome::moved, static_cast<std::size_t>(bytes)};
             if (errno == EINTR) continue;
             return {would_block() ? Transfer::Outcome::would_block : Transfer::Outcome::failed, 0};
         }
     }
+
     FdWatch watch_;
 };
 
 class TcpAcceptor final : public Acceptor {
   public:
     TcpAcceptor(Loop& loop, int fd)
-        : loop_(loop), readable_(loop), unused_(loop), watch_(loop, fd, readable_, unused_) {}
+        : loop_(loop), readable_(loop), writable_(loop), watch_(loop, fd, readable_, writable_) {}
 
     Task<Socket> accept() override {
         while (true) {
             const int fd = ::accept4(watch_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
             if (fd >= 0) {
-                no_delay(fd);
+                send_without_delay(fd);
                 co_return Socket{std::make_unique<TcpStream>(loop_, fd)};
             }
             if (errno == EINTR || errno == ECONNABORTED) continue;
             if (would_block()) {
                 co_await readable_.wait();
             } else {
-                // Out of sockets: wait for some to close. Edge-triggered readiness would not come again.
-                co_await loop_.sleep(Micros{100'000});
+                // Out of descriptors: wait for some to close. Edge-triggered readiness would not come again.
+                co_await loop_.sleep(kAcceptRetryInterval);
             }
         }
     }
@@ -93,32 +106,32 @@
   private:
     Loop& loop_;
     Signal readable_;
-    Signal unused_;
+    Signal writable_;  // the watch needs one; a listening descriptor never becomes writable
     FdWatch watch_;
 };
 
 class TcpTransport final : public Transport {
   public:
-    Task<std::optional<Socket>> connect(Loop& loop, Address to, Micros deadline) override {
-        const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-        if (fd < 0) co_return std::nullopt;
-        no_delay(fd);
+    Task<Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline) override {
+        const int fd = open_socket();
+        if (fd < 0) co_return IoError::failed;
+        send_without_delay(fd);
         auto stream = std::make_unique<TcpStream>(loop, fd);
-        const bool started = stream->start_connect(to);
-        if (!started) co_return std::nullopt;
+        const bool started = stream->start_connecting(to);
+        if (!started) co_return IoError::failed;
         const bool decided = co_await stream->writable.wait(deadline);
-        if (!decided || !stream->connected()) co_return std::nullopt;
+        if (!decided) co_return IoError::timed_out;
+        if (!stream->is_connected()) co_return IoError::failed;
         co_return Socket{std::move(stream)};
     }
 
     std::unique_ptr<Acceptor> listen(Loop& loop, Address at) override {
-        const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+        const int fd = open_socket();
         if (fd < 0) throw std::system_error(errno, std::generic_category(), "socket");
         auto acceptor = std::make_unique<TcpAcceptor>(loop, fd);
-        const int one = 1;
-        ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-        const auto addr = to_sockaddr(at);
-        if (::bind(fd, reinterpret_cast<const sockaddr*>(&addr), sizeof addr) != 0 ||
+        enable_option(fd, SOL_SOCKET, SO_REUSEADDR);
+        const auto address = to_socket_address(at);
+        if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
             ::listen(fd, SOMAXCONN) != 0)
             throw std::system_error(errno, std::generic_category(), "listen");
         return acceptor;
--- a/src/mesh/peer_mesh.cpp
+++ b/src/mesh/peer_mesh.cpp
@@ -78,8 +78,8 @@
         if (link.out.empty()) co_await link.filled.wait();
         const std::string batch = std::exchange(link.out, {});
         const Micros deadline = steady_now() + kWriteTimeout;
-        const bool sent = co_await socket.write(batch, deadline);
-        if (!sent || socket.is_stale()) co_return;
+        const auto written = co_await socket.write(batch, deadline);
+        if (!written || socket.is_stale()) co_return;
         // After a cut, or behind a peer that was killed in one, writes vanish into a connection that never
         // fails. Only the peer's word that it hears us shows that it does: without tables from every member
         // no lease ever counts as expired, and what was lost stays lost.
--- a/src/scaling/cloud_client.cpp
+++ b/src/scaling/cloud_client.cpp
@@ -21,7 +21,7 @@
       http_(http),
       budget_(settings.cloud_rps * kRateUsed, settings.cloud_rps) {}
 
-Task<io::HttpReply> CloudClient::call(std::string method, std::string target, std::string body) {
+Task<io::HttpResult> CloudClient::call(std::string method, std::string target, std::string body) {
     while (true) {
         const Micros wait = budget_.wait(1, steady_now());
         if (wait.count() == 0) break;
@@ -30,7 +30,7 @@
     budget_.spend(1, steady_now());
     auto task = http_.send(settings_.cloud, std::move(method), std::move(target), std::move(body),
                            steady_now() + kCallTime);
-    io::HttpReply reply = co_await std::move(task);
+    io::HttpResult reply = co_await std::move(task);
     co_return reply;
 }
 
--- a/src/scaling/cloud_client.hpp
+++ b/src/scaling/cloud_client.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "io/loop.hpp"
 #include "store/token_bucket.hpp"
 
@@ -14,8 +14,8 @@
   public:
     CloudClient(io::Loop& loop, const Settings& settings, io::HttpClient& http);
 
-    // Waits for the budget, then for the reply; status 0: none came in time.
-    io::Task<io::HttpReply> call(std::string method, std::string target, std::string body);
+    // Waits for the budget, then for the response.
+    io::Task<io::HttpResult> call(std::string method, std::string target, std::string body);
     // An answer that can't be read.
     void record_malformed(const char* call);
 
--- a/src/scaling/instance_inventory.cpp
+++ b/src/scaling/instance_inventory.cpp
@@ -24,11 +24,11 @@
         std::string target = "/rentals?most=500";
         if (!after.empty()) target += "&after=" + after;
         auto task = cloud_.call("GET", std::move(target), "");
-        const io::HttpReply reply = co_await std::move(task);
-        const auto body = reply.status == io::http_status::kOk ? wire::decode(reply.body) : std::nullopt;
+        const io::HttpResult reply = co_await std::move(task);
+        const auto body = reply.has_status(io::http_status::kOk) ? wire::decode(reply->body) : std::nullopt;
         const auto page = body ? wire::parse_instances(*body).optional() : std::nullopt;
         if (!page) {
-            if (reply.status == io::http_status::kOk) cloud_.record_malformed("list");
+            if (reply.has_status(io::http_status::kOk)) cloud_.record_malformed("list");
             co_return reading;
         }
         for (const auto& instance : page->instances) reading.instances.emplace(instance.machine, instance);
--- a/src/scaling/scale_out.cpp
+++ b/src/scaling/scale_out.cpp
@@ -79,15 +79,15 @@
         wire::rent_request(request, pool.type, pool.zone, pool.spot, std::min(number, kMostPerRequest)));
     for (int attempt = 0; attempt < kRentAttempts; ++attempt) {
         auto task = cloud_.call("POST", "/rentals", body);
-        const io::HttpReply reply = co_await std::move(task);
-        if (reply.status == 0) continue;  // the same name again rents nothing twice
+        const io::HttpResult reply = co_await std::move(task);
+        if (!reply) continue;  // the same name again rents nothing twice
         take_reply(pool, number, reply);
         co_return;
     }
 }
 
-void ScaleOut::take_reply(const core::InstancePool& pool, unsigned number, const io::HttpReply& reply) {
-    const auto body = reply.status == io::http_status::kOk ? wire::decode(reply.body) : std::nullopt;
+void ScaleOut::take_reply(const core::InstancePool& pool, unsigned number, const io::HttpResult& reply) {
+    const auto body = reply.has_status(io::http_status::kOk) ? wire::decode(reply->body) : std::nullopt;
     const auto machines = body ? wire::parse_rented(*body).optional() : std::nullopt;
     if (machines) {
         for (const auto& machine : *machines) inventory_.add_requested(machine, pool);
@@ -99,7 +99,7 @@
         return;
     }
     back_off(pool);
-    if (reply.status == io::http_status::kOk && !machines) cloud_.record_malformed("rent");
+    if (reply.has_status(io::http_status::kOk) && !machines) cloud_.record_malformed("rent");
 }
 
 // Nothing left there, or an outage: asked again ever more seldom, but so often that all pools together take a
--- a/src/scaling/scale_out.hpp
+++ b/src/scaling/scale_out.hpp
@@ -45,7 +45,7 @@
     core::ScaleOutSettings scale_out_settings() const;
     std::string next_request();
     io::Task<void> rent_from(core::InstancePool pool, unsigned number);
-    void take_reply(const core::InstancePool& pool, unsigned number, const io::HttpReply& reply);
+    void take_reply(const core::InstancePool& pool, unsigned number, const io::HttpResult& reply);
     void back_off(const core::InstancePool& pool);
 
     const Settings& settings_;
--- a/src/scaling/scaling_controller.cpp
+++ b/src/scaling/scaling_controller.cpp
@@ -56,9 +56,9 @@
 
 Task<void> ScalingController::read_catalog() {
     auto task = cloud_.call("GET", "/catalog", "");
-    const io::HttpReply reply = co_await std::move(task);
-    if (reply.status != io::http_status::kOk) co_return;
-    const auto body = wire::decode(reply.body);
+    const io::HttpResult reply = co_await std::move(task);
+    if (!reply.has_status(io::http_status::kOk)) co_return;
+    const auto body = wire::decode(reply->body);
     auto catalog = body ? wire::parse_catalog(*body).optional() : std::nullopt;
     if (!catalog || catalog->empty()) {
         cloud_.record_malformed("catalog");
@@ -158,8 +158,8 @@
 Task<bool> ScalingController::release(std::vector<std::string> machines) {
     if (machines.empty()) co_return true;
     auto task = cloud_.call("POST", "/rentals/release", wire::encode(wire::release_request(machines)));
-    const io::HttpReply reply = co_await std::move(task);
-    if (reply.status != io::http_status::kOk) co_return false;
+    const io::HttpResult reply = co_await std::move(task);
+    if (!reply.has_status(io::http_status::kOk)) co_return false;
     for (const auto& machine : machines) {
         spdlog::info("event=machine_released machine={}", machine);
         context_.workers.record_released(machine);
--- a/src/scaling/scaling_controller.hpp
+++ b/src/scaling/scaling_controller.hpp
@@ -9,7 +9,7 @@
 #include "cluster/leadership.hpp"
 #include "cluster/local_health.hpp"
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "scaling/cloud_client.hpp"
 #include "scaling/cordon_record.hpp"
 #include "scaling/eviction_controller.hpp"
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -6,6 +6,7 @@
 #include <cmath>
 #include <utility>
 
+#include "io/http_responses.hpp"
 #include "io/http_status.hpp"
 
 namespace hatchwind::controller {
@@ -103,8 +104,8 @@
     return wait;
 }
 
-void StoreClient::record_reachability(const io::HttpReply& reply) {
-    const bool failed = reply.status == 0 || reply.status == http_status::kServiceUnavailable;
+void StoreClient::record_reachability(const io::HttpResult& reply) {
+    const bool failed = !reply || reply.has_status(http_status::kServiceUnavailable);
     if (!failed) {
         failing_since_ = Micros{0};
     } else if (failing_since_.count() == 0) {
@@ -112,24 +113,22 @@
     }
 }
 
-Task<io::HttpReply> StoreClient::send(Call call) {
+Task<io::HttpResult> StoreClient::send(Call call) {
     const auto wait = reserve_budget(call);
     if (!wait) {
-        io::HttpReply refused;
-        refused.status = http_status::kTooManyRequests;  // by this controller's own budget
-        refused.never_sent = true;
-        co_return refused;
+        // By this controller's own budget: never sent.
+        co_return io::plain_response(http_status::kTooManyRequests);
     }
     if (wait->count() > 0) co_await loop_.sleep(*wait);
     auto sending = http_.send(settings_.state, std::move(call.method), std::move(call.target),
                               std::move(call.body), call.deadline, call.max_response_bytes);
-    io::HttpReply reply = co_await std::move(sending);
+    io::HttpResult reply = co_await std::move(sending);
     record_reachability(reply);
     co_return reply;
 }
 
-std::optional<wire::Json> StoreClient::decode(const io::HttpReply& reply, const char* call) {
-    auto body = wire::decode(reply.body);
+std::optional<wire::Json> StoreClient::decode(const io::HttpResponse& response, const char* call) {
+    auto body = wire::decode(response.body);
     if (!body) {
         ++malformed_;
         spdlog::warn("event=malformed_response from=state call={} count={}", call, malformed_);
@@ -141,11 +140,11 @@
     GetResult result;
     Call call{"GET", "/store/" + key, "", deadline};
     auto sending = send(std::move(call));
-    const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status != http_status::kOk && reply.status != http_status::kNotFound) co_return result;
-    const auto body = decode(reply, "get");
+    const io::HttpResult reply = co_await std::move(sending);
+    if (!reply.has_status(http_status::kOk) && !reply.has_status(http_status::kNotFound)) co_return result;
+    const auto body = decode(*reply, "get");
     if (!body) co_return result;
-    if (reply.status == http_status::kNotFound) {
+    if (reply.has_status(http_status::kNotFound)) {
         const auto revision = wire::parse_revision(*body);
         if (!revision) co_return result;
         result.ok = true;
@@ -166,9 +165,9 @@
     target += std::string("&most=") + kPageSize;
     Call call{"GET", std::move(target), "", steady_now() + kCallTimeout};
     auto sending = send(std::move(call));
-    const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status != http_status::kOk) co_return std::nullopt;
-    const auto body = decode(reply, "list");
+    const io::HttpResult reply = co_await std::move(sending);
+    if (!reply.has_status(http_status::kOk)) co_return std::nullopt;
+    const auto body = decode(*reply, "list");
     if (!body) co_return std::nullopt;
     co_return wire::parse_page(*body).optional();
 }
@@ -181,23 +180,23 @@
     Call call{"POST", "/commit", wire::encode(wire::transaction_request(transaction)), deadline, writes};
     call.for_user = priority.for_user;
     auto sending = send(std::move(call));
-    const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status == http_status::kTooManyRequests || reply.status == http_status::kServiceUnavailable ||
-        reply.never_sent) {
+    const io::HttpResult reply = co_await std::move(sending);
+    if (reply.has_status(http_status::kTooManyRequests) ||
+        reply.has_status(http_status::kServiceUnavailable) || reply.never_sent()) {
         result.outcome = CommitOutcome::unavailable;
         co_return result;
     }
-    if (reply.status == http_status::kBadRequest) {
-        spdlog::warn("event=commit_rejected body={}", reply.body.substr(0, kLoggedBodyBytes));
+    if (reply.has_status(http_status::kBadRequest)) {
+        spdlog::warn("event=commit_rejected body={}", reply->body.substr(0, kLoggedBodyBytes));
         result.outcome = CommitOutcome::refused;
         co_return result;
     }
-    if (reply.status != http_status::kOk && reply.status != http_status::kConflict) co_return result;
-    const auto body = decode(reply, "commit");
+    if (!reply.has_status(http_status::kOk) && !reply.has_status(http_status::kConflict)) co_return result;
+    const auto body = decode(*reply, "commit");
     if (!body) co_return result;
     auto response = wire::parse_commit_response(*body);
     if (!response) co_return result;
-    result.outcome = reply.status == http_status::kOk ? CommitOutcome::committed : CommitOutcome::conflict;
+    result.outcome = reply.has_status(http_status::kOk) ? CommitOutcome::committed : CommitOutcome::conflict;
     result.revision = response->revision;
     if (result.outcome == CommitOutcome::conflict) {
         result.failed = std::move(response->failed_conditions);
@@ -212,9 +211,9 @@
               steady_now() + kCallTimeout};
     call.urgent = true;
     auto sending = send(std::move(call));
-    const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status != http_status::kOk) co_return std::nullopt;
-    const auto body = decode(reply, "create_lease");
+    const io::HttpResult reply = co_await std::move(sending);
+    if (!reply.has_status(http_status::kOk)) co_return std::nullopt;
+    const auto body = decode(*reply, "create_lease");
     if (!body) co_return std::nullopt;
     co_return wire::parse_lease_response(*body).optional();
 }
@@ -223,9 +222,9 @@
     Call call{"POST", "/grants/" + std::to_string(store_lease) + "/renew", "", deadline};
     call.urgent = true;
     auto sending = send(std::move(call));
-    const io::HttpReply reply = co_await std::move(sending);
-    if (reply.status == http_status::kOk) co_return Renewal::done;
-    co_return reply.status == http_status::kNotFound ? Renewal::ended : Renewal::failed;
+    const io::HttpResult reply = co_await std::move(sending);
+    if (reply.has_status(http_status::kOk)) co_return Renewal::done;
+    co_return reply.has_status(http_status::kNotFound) ? Renewal::ended : Renewal::failed;
 }
 
 Task<WatchResult> StoreClient::watch(std::string prefix, core::Revision after, Micros block) {
@@ -240,16 +239,16 @@
         std::max(kLeastWatchBytes,
                  static_cast<std::size_t>(settings_.memory_mb * kBytesPerMegabyte * kMemoryPartOfWatch));
     auto sending = send(std::move(call));
-    const io::HttpReply reply = co_await std::move(sending);
+    const io::HttpResult reply = co_await std::move(sending);
     // An answer has no bound: after a long cut it holds all that was written since, many times what the store
     // holds, and reading it once ended a small controller for want of memory. The store itself comes in
     // pages.
-    if (reply.status == http_status::kGone || reply.too_large) {
+    if (reply.has_status(http_status::kGone) || reply.has_error(io::HttpError::response_too_large)) {
         result.too_old = true;
         co_return result;
     }
-    if (reply.status != http_status::kOk) co_return result;
-    const auto body = decode(reply, "watch");
+    if (!reply.has_status(http_status::kOk)) co_return result;
+    const auto body = decode(*reply, "watch");
     if (!body) co_return result;
     auto page = wire::parse_watch(*body);
     if (!page) co_return result;
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "store/token_bucket.hpp"
 #include "wire/store_api.hpp"
 
@@ -97,13 +97,13 @@
         std::size_t max_response_bytes = kMaxResponseBytes;
     };
 
-    io::Task<io::HttpReply> send(Call call);
+    io::Task<io::HttpResult> send(Call call);
     /// Takes the call from the budgets; how long to wait before it may be sent, or nothing if that is too
     /// long.
     std::optional<io::Micros> reserve_budget(const Call& call);
-    void record_reachability(const io::HttpReply& reply);
+    void record_reachability(const io::HttpResult& reply);
     /// The decoded body; one that can't be read is logged.
-    std::optional<wire::Json> decode(const io::HttpReply& reply, const char* call);
+    std::optional<wire::Json> decode(const io::HttpResponse& response, const char* call);
     void record_demand(double writes);
 
     io::Loop& loop_;
--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -17,6 +17,7 @@
 namespace {
 constexpr Micros kCommandTimeout{2'500'000};
 constexpr std::size_t kMaxQueuedCommands = 256;  // for one machine
+constexpr int kNoResponse = 0;                   // as a status, in the log
 }  // namespace
 
 void CommandSender::forget_earlier_epochs() {
@@ -73,21 +74,23 @@
 
 void CommandSender::handle_reply(const std::string& machine, std::uint64_t epoch,
                                  const std::vector<core::WorkerCommand>& commands,
-                                 const io::HttpReply& reply) {
+                                 const io::HttpResult& reply) {
     // A conflict is a higher fencing token or another incarnation: refused, but answered.
-    const bool answered = reply.status == io::http_status::kOk || reply.status == io::http_status::kConflict;
+    const bool answered =
+        reply.has_status(io::http_status::kOk) || reply.has_status(io::http_status::kConflict);
     // One copy of each: another one that got no answer may still arrive.
-    if (answered || reply.never_sent) resolve_start_copies(commands, epoch);
+    if (answered || reply.never_sent()) resolve_start_copies(commands, epoch);
     if (answered) {
-        context_.workers.handle_response_body(reply.body);
+        context_.workers.handle_response_body(reply->body);
         context_.signals.scheduling_needed.notify_all();
         return;
     }
     // Without a socket of this controller's own the machine was not asked: banned for that, live machines of
     // a large fleet got nothing after a failover.
-    if (!reply.pool_exhausted) context_.probes.record_unanswered(machine, steady_now());
-    spdlog::debug("event=command_unanswered machine={} status={} commands={}", machine, reply.status,
-                  commands.size());
+    if (!reply.has_error(io::HttpError::pool_exhausted))
+        context_.probes.record_unanswered(machine, steady_now());
+    spdlog::debug("event=command_unanswered machine={} status={} commands={}", machine,
+                  reply.status_or(kNoResponse), commands.size());
 }
 
 Task<void> CommandSender::send(std::string machine) {
@@ -109,7 +112,7 @@
         auto body = wire::encode(wire::commands_request(epoch, queue->second.incarnation, commands));
         auto sending = context_.worker_http.send(*address, "POST", "/orders", std::move(body),
                                                  steady_now() + kCommandTimeout, kMaxWorkerStatusBytes);
-        const io::HttpReply reply = co_await std::move(sending);
+        const io::HttpResult reply = co_await std::move(sending);
         handle_reply(machine, epoch, commands, reply);
     }
 }
--- a/src/workers/command_sender.hpp
+++ b/src/workers/command_sender.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cluster/leadership.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "io/loop.hpp"
 #include "io/task.hpp"
 #include "store/change_signals.hpp"
@@ -59,7 +59,7 @@
 
     io::Task<void> send(std::string machine);
     void handle_reply(const std::string& machine, std::uint64_t epoch,
-                      const std::vector<core::WorkerCommand>& commands, const io::HttpReply& reply);
+                      const std::vector<core::WorkerCommand>& commands, const io::HttpResult& reply);
     void count_start(const core::WorkerCommand& command);
     /// One copy of the start can't arrive any more.
     void resolve_start_copy(const core::WorkerCommand& command, std::uint64_t epoch);
--- a/src/workers/heartbeat_handler.hpp
+++ b/src/workers/heartbeat_handler.hpp
@@ -8,7 +8,7 @@
 
 #include "cluster/leadership.hpp"
 #include "cluster/peer_directory.hpp"
-#include "io/http.hpp"
+#include "io/http_message.hpp"
 #include "store/replicated_state.hpp"
 #include "workers/worker_leases.hpp"
 #include "workers/worker_status.hpp"
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -41,15 +41,15 @@
     }
     auto asking = context_.worker_http.send(*address, "GET", "/status", "", steady_now() + kProbeTimeout,
                                             kMaxWorkerStatusBytes);
-    const io::HttpReply reply = co_await std::move(asking);
-    if (reply.status == io::http_status::kOk) {
-        context_.workers.handle_response_body(reply.body);
+    const io::HttpResult reply = co_await std::move(asking);
+    if (reply.has_status(io::http_status::kOk)) {
+        context_.workers.handle_response_body(reply->body);
         context_.probes.remove(machine);
         context_.signals.scheduling_needed.notify_all();
         co_return;
     }
     const auto state = context_.probes.states().find(machine);
-    if (state == context_.probes.states().end() || reply.pool_exhausted) co_return;
+    if (state == context_.probes.states().end() || reply.has_error(io::HttpError::pool_exhausted)) co_return;
     state->second.interval = std::min(state->second.interval * 2, kMaxProbeInterval);
     context_.probes.record_unanswered(machine, steady_now());
 }
@@ -63,7 +63,7 @@
         if (state.next_probe <= now) due.emplace_back(state.next_probe, machine);
     }
     // Half of the sockets are left to commands.
-    const std::size_t sockets = std::max(kMinConcurrentProbes, context_.worker_http.most_connections() / 2);
+    const std::size_t sockets = std::max(kMinConcurrentProbes, context_.worker_http.max_connections() / 2);
     const std::size_t most = std::clamp(context_.workers.cluster_view().machines().size() / kFleetPartProbed,
                                         kMinConcurrentProbes, sockets);
     const std::size_t number = std::min(due.size(), most - std::min(most, probes_in_flight_));
@@ -107,9 +107,9 @@
         const io::Address address = addresses[next_turn_++ % addresses.size()];
         auto asking = context_.worker_http.send(address, "GET", "/status", "",
                                                 steady_now() + kConnectivityTimeout, kMaxWorkerStatusBytes);
-        const io::HttpReply reply = co_await std::move(asking);
-        if (reply.status != io::http_status::kOk) continue;
-        context_.workers.handle_response_body(reply.body);
+        const io::HttpResult reply = co_await std::move(asking);
+        if (!reply.has_status(io::http_status::kOk)) continue;
+        context_.workers.handle_response_body(reply->body);
         co_return true;
     }
     co_return false;
--- a/src/workers/reachability_monitor.hpp
+++ b/src/workers/reachability_monitor.hpp
@@ -7,7 +7,7 @@
 
 #include "cluster/local_health.hpp"
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "io/loop.hpp"
 #include "io/task.hpp"
 #include "store/change_signals.hpp"
--- a/src/workers/worker_status.cpp
+++ b/src/workers/worker_status.cpp
@@ -167,7 +167,7 @@
     const core::MachineView* view = cluster_view_.find(machine);
     if (view != nullptr) {
         if (const auto address = io::parse_address(view->last_heartbeat.address))
-            context_.worker_http.forget(*address);
+            context_.worker_http.close_idle(*address);
     }
     cluster_view_.release(machine, io::steady_now());
     context_.leases.forget(machine);
--- a/src/workers/worker_status.hpp
+++ b/src/workers/worker_status.hpp
@@ -13,7 +13,7 @@
 #include "config/settings.hpp"
 #include "core/cluster_view.hpp"
 #include "core/free_capacity.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "store/change_signals.hpp"
 #include "store/replicated_state.hpp"
 #include "workers/reachability_probes.hpp"
--- a/tests/emulator_models_test.cpp
+++ b/tests/emulator_models_test.cpp
@@ -360,8 +360,8 @@
         const Json body{{"baton", fencing_token}, {"stint", incarnation}, {"calls", std::move(calls)}};
         const Micros deadline = io::steady_now() + at(10);
         auto sending = client.send(worker_address, "POST", "/orders", wire::encode(body), deadline);
-        const io::HttpReply reply = co_await std::move(sending);
-        command_statuses.push_back(reply.status);
+        const io::HttpResult reply = co_await std::move(sending);
+        command_statuses.push_back(reply.status_or(0));
     }
     TaskRunner& runner(const std::string& id) {
         MachineIdentity machine;
@@ -725,9 +725,9 @@
             const std::string encoded = body.is_null() ? "" : wire::encode(body);
             const Micros deadline = io::steady_now() + at(5);
             auto sending = client.send(address, method, target, encoded, deadline);
-            const io::HttpReply reply = co_await std::move(sending);
-            statuses.push_back(reply.status);
-            answers.push_back(wire::decode(reply.body).value_or(Json{}));
+            const io::HttpResult reply = co_await std::move(sending);
+            statuses.push_back(reply.status_or(0));
+            answers.push_back(wire::decode(test::body_of(reply)).value_or(Json{}));
         }
         co_await loop.sleep(at(pause));
         loop.stop();
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -6,7 +6,8 @@
 
 #include "emulator/deployment.hpp"
 #include "emulator/play.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
+#include "io/http_server.hpp"
 #include "wire/cbor.hpp"
 
 namespace hatchwind {
@@ -84,8 +85,8 @@
             std::string body = "ping";
             const Micros deadline = io::steady_now() + seconds(0.5);
             auto task = client.send(target, "POST", "/", std::move(body), deadline);
-            const io::HttpReply reply = co_await std::move(task);
-            (reply.status == 200 ? answered : failed).push_back(world.now());
+            const io::HttpResult reply = co_await std::move(task);
+            (reply.has_status(200) ? answered : failed).push_back(world.now());
             co_await loop.sleep(seconds(0.1));
         }
     }
@@ -169,9 +170,9 @@
         const Micros deadline = io::steady_now() + wait;
         std::string encoded = body.is_null() ? "" : wire::encode(body);
         auto task = http_.send(address_, std::move(method), std::move(target), std::move(encoded), deadline);
-        const io::HttpReply reply = co_await std::move(task);
-        answer->status = reply.status;
-        answer->body = wire::decode(reply.body).value_or(Json::object());
+        const io::HttpResult reply = co_await std::move(task);
+        answer->status = reply.status_or(0);
+        answer->body = wire::decode(reply ? reply->body : std::string{}).value_or(Json::object());
         answer->took = world_.now() - began;
         answer->over = true;
     }
--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -1,5 +1,10 @@
 #include <arpa/inet.h>
 
+#include <array>
+#include <string>
+#include <tuple>
+#include <vector>
+
 #include "stand_ins.hpp"
 #include "support.hpp"
 
@@ -92,7 +97,7 @@
     io::HttpServer server;
     io::Scope scope;
     Micros answer_after{0};
-    explicit Echo(io::HttpLimits limits = {})
+    explicit Echo(io::HttpServerLimits limits = {})
         : server(loop, address, limits, [this](io::HttpRequest r) -> Task<io::HttpResponse> {
               if (answer_after.count() > 0) co_await loop.sleep(answer_after);
               io::HttpResponse out;
@@ -113,9 +118,9 @@
             auto task = client.send(e.address, "POST", "/x", "body" + std::to_string(i),
                                     io::steady_now() + Micros{5'000'000});
             const auto r = co_await std::move(task);
-            EXPECT_EQ(r.status, 200);
-            EXPECT_EQ(r.body, "POST /x body" + std::to_string(i));
-            EXPECT_EQ(r.retry_after_s, 7);
+            EXPECT_EQ(r.status_or(0), 200);
+            EXPECT_EQ(test::body_of(r), "POST /x body" + std::to_string(i));
+            EXPECT_EQ(r ? r->retry_after_s : 0, 7);
             EXPECT_EQ(e.server.open_connections(), 1U);
         }
     });
@@ -128,7 +133,7 @@
         auto big = client.send(e.address, "POST", "/x", std::string(100'000, 'x'),
                                io::steady_now() + Micros{5'000'000});
         const auto r = co_await std::move(big);
-        EXPECT_EQ(r.status, 400);
+        EXPECT_EQ(r.status_or(0), 400);
         for (const std::string bad : {"NONSENSE\r\n\r\n", "GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n"}) {
             auto connecting = io::connect(e.loop, e.address, io::steady_now() + Micros{1'000'000});
             auto socket = co_await std::move(connecting);
@@ -147,10 +152,10 @@
 }
 
 TEST(Http, EndlessHeadsAndSlowSendersLoseTheirConnection) {
-    io::HttpLimits limits;
-    limits.body_bytes = 1000;
-    limits.head_bytes = 1000;
-    limits.request_time = Micros{200'000};
+    io::HttpServerLimits limits;
+    limits.max_body_bytes = 1000;
+    limits.max_head_bytes = 1000;
+    limits.request_timeout = Micros{200'000};
     Echo e{limits};
     run(e.loop, [&]() -> Task<void> {
         for (const bool endless : {true, false}) {
@@ -162,7 +167,7 @@
             auto writing = socket->write(text, io::steady_now() + Micros{1'000'000});
             co_await std::move(writing);
             char buffer[512];
-            std::optional<std::size_t> n = 1;
+            io::Result<std::size_t, io::IoError> n = std::size_t{1};
             while (n && *n > 0) {
                 auto reading = socket->read(buffer, sizeof buffer, io::steady_now() + Micros{5'000'000});
                 n = co_await std::move(reading);
@@ -180,8 +185,9 @@
         auto task =
             client.send(test::local(test::free_port()), "GET", "/", "", io::steady_now() + Micros{1'000'000});
         const auto r = co_await std::move(task);
-        EXPECT_EQ(r.status, 0);
-        EXPECT_TRUE(r.never_sent);
+        EXPECT_EQ(r.status_or(0), 0);
+        EXPECT_TRUE(r.never_sent());
+        EXPECT_TRUE(r.has_error(io::HttpError::connect_failed));
     });
 }
 
@@ -202,7 +208,7 @@
         const auto call = [](io::HttpClient& c, io::Address to, int& count) -> Task<void> {
             auto task = c.send(to, "GET", "/", "", io::steady_now() + Micros{20'000'000});
             const auto r = co_await std::move(task);
-            count += r.status == 200 ? 1 : 0;
+            count += r.has_status(200) ? 1 : 0;
         };
         for (int i = 0; i < 40; ++i) calls.spawn(call(client, i % 2 == 0 ? a.address : other, answered));
         while (answered < 40) {
@@ -214,9 +220,9 @@
         // All of them at rest with one address: another one's call takes the place of the longest at rest.
         auto task = client.send(a.address, "GET", "/", "", io::steady_now() + Micros{5'000'000});
         const auto r = co_await std::move(task);
-        EXPECT_EQ(r.status, 200);
-        client.forget(a.address);
-        client.forget(other);
+        EXPECT_EQ(r.status_or(0), 200);
+        client.close_idle(a.address);
+        client.close_idle(other);
         EXPECT_EQ(client.open_connections(), 0U);
     });
 }
@@ -235,22 +241,22 @@
         co_await slow.loop.sleep(Micros{50'000});
         auto second = client.send(slow.address, "GET", "/", "", io::steady_now() + Micros{100'000});
         const auto waited = co_await std::move(second);
-        EXPECT_TRUE(waited.never_sent);
-        EXPECT_TRUE(waited.pool_exhausted);
+        EXPECT_TRUE(waited.never_sent());
+        EXPECT_TRUE(waited.has_error(io::HttpError::pool_exhausted));
         co_await slow.loop.sleep(Micros{500'000});
         auto nobody =
             client.send(test::local(test::free_port()), "GET", "/", "", io::steady_now() + Micros{100'000});
         const auto refused = co_await std::move(nobody);
-        EXPECT_TRUE(refused.never_sent);
-        EXPECT_FALSE(refused.pool_exhausted);
+        EXPECT_TRUE(refused.never_sent());
+        EXPECT_FALSE(refused.has_error(io::HttpError::pool_exhausted));
     });
 }
 
 // Half-open connections, and a fleet that keeps its own, held users and health checks out.
 TEST(Http, AServerThatIsFullGivesThePlaceOfWhoRestsLongest) {
-    io::HttpLimits limits;
-    limits.connections = 4;
-    limits.kept = 2;
+    io::HttpServerLimits limits;
+    limits.max_connections = 4;
+    limits.max_kept_connections = 2;
     Echo e{limits};
     run(e.loop, [&]() -> Task<void> {
         std::vector<io::Socket> idle;
@@ -264,7 +270,7 @@
         io::HttpClient client{e.loop};
         auto task = client.send(e.address, "GET", "/", "", io::steady_now() + Micros{5'000'000});
         const auto r = co_await std::move(task);
-        EXPECT_EQ(r.status, 200);
+        EXPECT_EQ(r.status_or(0), 200);
         EXPECT_TRUE(idle.front().is_stale());
         EXPECT_FALSE(idle.back().is_stale());
         // Beyond what is kept, an answered connection is closed.
@@ -272,6 +278,88 @@
     });
 }
 
+// Accepts one connection, reads the request, and answers with the given bytes. Then it closes the connection,
+// or holds it open for a while.
+enum class AfterAnswer { close, hold };
+Task<void> answer_once(io::Loop& loop, io::Address at, std::string answer, AfterAnswer after) {
+    io::Listener listener{loop, at};
+    io::Socket socket = co_await listener.accept();
+    std::array<char, 4096> buffer;
+    const Micros deadline = io::steady_now() + Micros{1'000'000};
+    const auto received = co_await socket.read(buffer.data(), buffer.size(), deadline);
+    EXPECT_TRUE(received.has_value());
+    const auto written = co_await socket.write(answer, deadline);
+    EXPECT_TRUE(written.has_value());
+    if (after == AfterAnswer::hold) co_await loop.sleep(Micros{1'000'000});
+}
+
+io::HttpResult result_of_answer(const std::string& answer, AfterAnswer after) {
+    io::Loop loop;
+    io::HttpResult result = io::HttpError::connect_failed;
+    run(loop, [&]() -> Task<void> {
+        const io::Address at = test::local(test::free_port());
+        io::Scope scope;
+        scope.spawn(answer_once(loop, at, answer, after));
+        io::HttpClient client{loop};
+        constexpr std::size_t max_body_bytes = 10;
+        auto task = client.send(at, "GET", "/", "", io::steady_now() + Micros{200'000}, max_body_bytes);
+        result = co_await std::move(task);
+    });
+    return result;
+}
+
+TEST(Http, SaysWhyThereIsNoResponseToARequestThatWasSent) {
+    const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: ";
+    const std::vector<std::tuple<std::string, AfterAnswer, io::HttpError>> cases{
+        {"", AfterAnswer::hold, io::HttpError::timed_out},
+        {head + "5\r\n\r\nabc", AfterAnswer::hold, io::HttpError::timed_out},
+        {"", AfterAnswer::close, io::HttpError::connection_lost},
+        {head + "5\r\n\r\nabc", AfterAnswer::close, io::HttpError::connection_lost},
+        {"NONSENSE\r\n\r\n", AfterAnswer::hold, io::HttpError::malformed_response},
+        {"HTTP/1.1 000 OK\r\nContent-Length: 0\r\n\r\n", AfterAnswer::hold,
+         io::HttpError::malformed_response},
+        {head + "11\r\n\r\nabcdefghijk", AfterAnswer::hold, io::HttpError::response_too_large},
+    };
+    for (const auto& [answer, after, error] : cases) {
+        const io::HttpResult result = result_of_answer(answer, after);
+        EXPECT_TRUE(result.has_error(error)) << answer;
+        EXPECT_FALSE(result.never_sent()) << answer;
+        EXPECT_EQ(result.status_or(0), 0) << answer;
+    }
+}
+
+TEST(Http, AResponseWithoutALengthEndsWithItsConnection) {
+    const io::HttpResult result = result_of_answer("HTTP/1.1 200 OK\r\n\r\nabc", AfterAnswer::close);
+    EXPECT_TRUE(result.has_status(200));
+    EXPECT_EQ(test::body_of(result), "abc");
+}
+
+TEST(Socket, SaysWhetherTheDeadlineOrTheConnectionEndedAnOperation) {
+    io::Loop loop;
+    run(loop, [&]() -> Task<void> {
+        const io::Address at = test::local(test::free_port());
+        const Micros soon = io::steady_now() + Micros{100'000};
+        auto refused = io::connect(loop, at, soon);
+        const auto nothing = co_await std::move(refused);
+        EXPECT_FALSE(nothing.has_value());
+        EXPECT_EQ(nothing ? io::IoError::timed_out : nothing.error(), io::IoError::failed);
+        io::Listener listener{loop, at};
+        auto connecting = io::connect(loop, at, soon);
+        auto socket = co_await std::move(connecting);
+        EXPECT_TRUE(socket.has_value());
+        char buffer[16];
+        auto reading = socket->read(buffer, sizeof buffer, soon);
+        const auto received = co_await std::move(reading);
+        EXPECT_FALSE(received.has_value());
+        EXPECT_EQ(received ? io::IoError::failed : received.error(), io::IoError::timed_out);
+        socket->shut_down();
+        auto writing = socket->write("x", soon);
+        const auto written = co_await std::move(writing);
+        EXPECT_FALSE(written.has_value());
+        EXPECT_EQ(written ? io::IoError::timed_out : written.error(), io::IoError::failed);
+    });
+}
+
 TEST(Address, ReadsIpAndPortOnly) {
     EXPECT_TRUE(io::parse_address("10.0.0.1:80").has_value());
     for (const char* bad : {"", "10.0.0.1", "10.0.0.1:", "10.0.0.1:0", "10.0.0.1:99999", "host:80",
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -92,7 +92,7 @@
             client.send(addresses_[node], std::move(method), std::move(target),
                         body.is_null() ? "" : wire::encode(body), io::steady_now() + Micros{5'000'000});
         const auto r = co_await std::move(task);
-        co_return std::pair{r.status, wire::decode(r.body).value_or(Json::object())};
+        co_return std::pair{r.status_or(0), wire::decode(body_of(r)).value_or(Json::object())};
     }
     // Repeats a call on any live node until it gets the wanted status code, as users do.
     Task<Json> insist(std::string method, std::string target, Json body, std::set<int> wanted) {
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -10,7 +10,8 @@
 #include <memory>
 #include <set>
 
-#include "io/http.hpp"
+#include "io/http_client.hpp"
+#include "io/http_server.hpp"
 #include "wire/cbor.hpp"
 
 namespace hatchwind::test {
@@ -50,6 +51,9 @@
 }
 
 // Passes connections on to somebody else until it is cut: then nothing more arrives on either side.
+// The body of a response; empty when there is no response.
+inline std::string body_of(const io::HttpResult& result) { return result ? result->body : std::string{}; }
+
 class Relay {
   public:
     Relay(io::Loop& loop, io::Address to)
@@ -85,8 +89,8 @@
             if (!n || *n == 0 || cut) co_return;
             const std::string_view data{buffer.data(), *n};
             auto sent = to->write(data, long_after);
-            const bool ok = co_await std::move(sent);
-            if (!ok) co_return;
+            const auto written = co_await std::move(sent);
+            if (!written) co_return;
         }
     }
     io::Loop& loop_;
@@ -434,16 +438,16 @@
             auto task = client_.send(nodes_[at_ % nodes_.size()], "POST", "/hello", wire::encode(last_report),
                                      sent + io::Micros{700'000});
             auto r = co_await std::move(task);
-            if (deaf) r.status = 0;
-            const auto v = r.status == 200 || r.status == 421 ? wire::decode(r.body) : std::nullopt;
-            if (r.status == 200 && v && (*v)["baton"].get<std::uint64_t>() >= fencing_token_) {
+            if (deaf) r = io::HttpError::timed_out;
+            const auto v = r.has_status(200) || r.has_status(421) ? wire::decode(r->body) : std::nullopt;
+            if (r.has_status(200) && v && (*v)["baton"].get<std::uint64_t>() >= fencing_token_) {
                 fencing_token_ = (*v)["baton"].get<std::uint64_t>();
                 began_ = sent;
                 execute((*v)["calls"]);
                 continue;
             }
             ++at_;
-            if (r.status == 421 && v && v->contains("home")) {
+            if (r.has_status(421) && v && v->contains("home")) {
                 for (std::size_t i = 0; i < labels_.size(); ++i) {
                     if (labels_[i] == (*v)["home"]) at_ = i;
                 }
--- a/tests/worker_state.hpp
+++ b/tests/worker_state.hpp
@@ -8,7 +8,7 @@
 #include "cluster/local_health.hpp"
 #include "cluster/peer_directory.hpp"
 #include "cluster/peer_links.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "io/loop.hpp"
 #include "store/change_signals.hpp"
 #include "store/replicated_state.hpp"
