--- a/src/api/user_api.hpp
+++ b/src/api/user_api.hpp
@@ -13,7 +13,7 @@
 #include "cluster/peer_directory.hpp"
 #include "cluster/peer_links.hpp"
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_message.hpp"
 #include "store/change_signals.hpp"
 #include "store/final_state_reader.hpp"
 #include "store/replica.hpp"
--- a/src/scaling/cloud_client.hpp
+++ b/src/scaling/cloud_client.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "io/http_status.hpp"
 #include "io/loop.hpp"
 #include "store/token_bucket.hpp"
@@ -25,16 +25,16 @@
 
     CloudClient(io::Loop& loop, const Settings& settings, io::HttpClient& http);
 
-    /// Waits for the budget, then for the reply; status 0: none came in time, and the call may have been
+    /// Waits for the budget, then for the reply. Without one in time, the call may have been
     /// executed all the same.
-    io::Task<io::HttpReply> call(std::string method, std::string target, std::string body);
+    io::Task<io::HttpResult> call(std::string method, std::string target, std::string body);
     /// The reply's body; nothing for a reply without one, and for a body that can't be read, which is logged
     /// under the name of the call.
     template <class T>
-    std::optional<T> decode(const io::HttpReply& reply, const char* call_name,
+    std::optional<T> decode(const io::HttpResult& reply, const char* call_name,
                             wire::Decoded<T> (*parse)(const wire::Json&)) {
-        if (reply.status != io::http_status::kOk) return std::nullopt;
-        const std::optional<wire::Json> body = wire::decode(reply.body);
+        if (!reply.has_status(io::http_status::kOk)) return std::nullopt;
+        const std::optional<wire::Json> body = wire::decode(reply->body);
         std::optional<T> message = body ? parse(*body).optional() : std::nullopt;
         if (!message) record_malformed_reply(call_name);
         return message;
--- a/src/scaling/instance_inventory.cpp
+++ b/src/scaling/instance_inventory.cpp
@@ -37,7 +37,7 @@
         std::string target = "/rentals?most=" + std::to_string(kPageSize);
         if (!last_machine.empty()) target += "&after=" + last_machine;
         auto call = cloud_.call("GET", std::move(target), "");
-        const io::HttpReply reply = co_await std::move(call);
+        const io::HttpResult reply = co_await std::move(call);
         const auto page = cloud_.decode(reply, "list", wire::parse_instances);
         if (!page) co_return listing;
         for (const auto& instance : page->instances) listing.instances.emplace(instance.machine, instance);
--- a/src/scaling/scale_out.cpp
+++ b/src/scaling/scale_out.cpp
@@ -76,15 +76,16 @@
         wire::encode(wire::rent_request(request_id, pool.type, pool.zone, pool.spot, number));
     for (int attempt = 0; attempt < kRequestAttempts; ++attempt) {
         auto call = context_.cloud.call("POST", "/rentals", body);
-        const io::HttpReply reply = co_await std::move(call);
+        const io::HttpResult reply = co_await std::move(call);
         // The id makes the request idempotent, so one without a reply is safely sent again.
-        if (reply.status == 0) continue;
+        if (!reply) continue;
         apply_reply(pool, wanted, reply);
         co_return;
     }
 }
 
-void ScaleOut::apply_reply(const core::InstancePool& pool, std::uint32_t wanted, const io::HttpReply& reply) {
+void ScaleOut::apply_reply(const core::InstancePool& pool, std::uint32_t wanted,
+                           const io::HttpResult& reply) {
     const auto machines = context_.cloud.decode(reply, "rent", wire::parse_rented);
     if (!machines) {
         backoff_.record_refusal(pool);
--- a/src/scaling/scale_out.hpp
+++ b/src/scaling/scale_out.hpp
@@ -50,7 +50,7 @@
     core::ScaleOutSettings scale_out_settings() const;
     std::string next_request_id();
     io::Task<void> request_instances(core::InstancePool pool, std::uint32_t wanted);
-    void apply_reply(const core::InstancePool& pool, std::uint32_t wanted, const io::HttpReply& reply);
+    void apply_reply(const core::InstancePool& pool, std::uint32_t wanted, const io::HttpResult& reply);
 
     const ScaleOutContext context_;
     PoolBackoff backoff_;
--- a/src/scaling/scaling_controller.cpp
+++ b/src/scaling/scaling_controller.cpp
@@ -72,7 +72,7 @@
 
 Task<void> ScalingController::refresh_catalog() {
     auto call = cloud_.call("GET", "/catalog", "");
-    const io::HttpReply reply = co_await std::move(call);
+    const io::HttpResult reply = co_await std::move(call);
     auto catalog = cloud_.decode(reply, "catalog", wire::parse_catalog);
     if (!catalog) co_return;
     if (catalog->empty()) {
@@ -215,8 +215,8 @@
 Task<bool> ScalingController::release(std::vector<std::string> machines) {
     if (machines.empty()) co_return true;
     auto call = cloud_.call("POST", "/rentals/release", wire::encode(wire::release_request(machines)));
-    const io::HttpReply reply = co_await std::move(call);
-    if (reply.status != io::http_status::kOk) co_return false;
+    const io::HttpResult reply = co_await std::move(call);
+    if (!reply.has_status(io::http_status::kOk)) co_return false;
     for (const auto& machine : machines) {
         spdlog::info("event=machine_released machine={}", machine);
         context_.workers.record_released(machine);
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "store/token_bucket.hpp"
 #include "wire/store_api.hpp"
 
@@ -113,13 +113,13 @@
 
     /// Sends the call when the budgets allow it. A call that they don't allow before its deadline gets status
     /// 429 and `never_sent`.
-    io::Task<io::HttpReply> send(Call call);
+    io::Task<io::HttpResult> send(Call call);
     /// Takes the call from the budgets. Returns how long to wait before it may be sent; nothing if that is
     /// later than its deadline.
     std::optional<io::Micros> reserve_budget(const Call& call);
-    void record_reachability(const io::HttpReply& reply);
+    void record_reachability(const io::HttpResult& reply);
     /// The decoded body; one that can't be decoded is logged.
-    std::optional<wire::Json> decode(const io::HttpReply& reply, const char* call);
+    std::optional<wire::Json> decode(const io::HttpResponse& response, const char* call);
     /// Adds writes to the demand, which decays over time.
     void record_demand(double writes);
 
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -39,7 +39,7 @@
 };
 }  // namespace
 
-Task<io::HttpReply> ReachabilityMonitor::request_status(io::Address worker, Micros timeout) {
+Task<io::HttpResult> ReachabilityMonitor::request_status(io::Address worker, Micros timeout) {
     return context_.worker_http.send(worker, "GET", "/status", "", steady_now() + timeout,
                                      kMaxWorkerStatusBytes);
 }
@@ -53,21 +53,21 @@
         co_return;
     }
     auto requesting = request_status(*address, kProbeTimeout);
-    const io::HttpReply reply = co_await std::move(requesting);
-    if (reply.status == io::http_status::kOk) {
-        context_.workers.handle_response_body(reply.body);
+    const io::HttpResult reply = co_await std::move(requesting);
+    if (reply.has_status(io::http_status::kOk)) {
+        context_.workers.handle_response_body(reply->body);
         context_.probes.remove(machine);
         context_.signals.scheduling_needed.notify_all();
         co_return;
     }
     // Without a free socket of this controller's own the machine was not asked.
-    if (!reply.pool_exhausted) context_.probes.back_off(machine, steady_now());
+    if (!reply.has_error(io::HttpError::pool_exhausted)) context_.probes.back_off(machine, steady_now());
 }
 
 // So many at a time as lets a whole fleet answer within seconds of a failover.
 std::size_t ReachabilityMonitor::probes_allowed() const {
     // Half of the sockets are left to commands.
-    const std::size_t sockets = std::max(kMinConcurrentProbes, context_.worker_http.most_connections() / 2);
+    const std::size_t sockets = std::max(kMinConcurrentProbes, context_.worker_http.max_connections() / 2);
     const std::size_t fleet_size = context_.workers.cluster_view().machines().size();
     const std::size_t limit = std::clamp(fleet_size / kProbedFleetDivisor, kMinConcurrentProbes, sockets);
     return limit - std::min(limit, probes_in_flight_);
@@ -101,9 +101,9 @@
     for (std::size_t attempt = 0; attempt < kConnectivityTries; ++attempt) {
         const io::Address address = addresses[next_turn_++ % addresses.size()];
         auto requesting = request_status(address, kConnectivityTimeout);
-        const io::HttpReply reply = co_await std::move(requesting);
-        if (reply.status != io::http_status::kOk) continue;
-        context_.workers.handle_response_body(reply.body);
+        const io::HttpResult reply = co_await std::move(requesting);
+        if (!reply.has_status(io::http_status::kOk)) continue;
+        context_.workers.handle_response_body(reply->body);
         co_return true;
     }
     co_return false;
--- a/src/workers/reachability_monitor.hpp
+++ b/src/workers/reachability_monitor.hpp
@@ -10,7 +10,7 @@
 
 #include "cluster/local_health.hpp"
 #include "config/settings.hpp"
-#include "io/http.hpp"
+#include "io/http_client.hpp"
 #include "io/loop.hpp"
 #include "io/task.hpp"
 #include "store/change_signals.hpp"
@@ -50,7 +50,7 @@
     /// How many more probes may be sent now.
     std::size_t probes_allowed() const;
     io::Task<void> probe(std::string machine);
-    io::Task<io::HttpReply> request_status(io::Address worker, io::Micros timeout);
+    io::Task<io::HttpResult> request_status(io::Address worker, io::Micros timeout);
     /// Workers of whom a heartbeat came within `max_age`, by way of any controller.
     std::vector<io::Address> recently_heard(io::Micros max_age) const;
     /// True when one of a few of these workers, which must not be empty, has answered.
