--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -11,6 +11,7 @@
 #include "cluster/peer_directory.hpp"
 #include "cluster/peer_links.hpp"
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "io/loop.hpp"
 #include "io/task.hpp"
 #include "store/change_signals.hpp"
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -13,6 +13,7 @@
 #include "cluster/peer_links.hpp"
 #include "cluster/peer_reservations.hpp"
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "core/free_capacity.hpp"
 #include "io/http.hpp"
 #include "io/loop.hpp"
--- a/src/emulator/deployment.cpp
+++ b/src/emulator/deployment.cpp
@@ -58,7 +58,7 @@
     Host& host = node(index);
     host.start([&]() -> std::shared_ptr<void> {
         const controller::Settings& settings = settings_.at(index);
-        controller::Tunables tunables = controller::tune({}, settings);
+        controller::Tunables tunables = controller::parse_tunables({}, settings);
         if (options_.adjust) options_.adjust(tunables);
         auto made = std::make_shared<controller::Controller>(host.loop(), settings, tunables);
         made->start();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,6 +9,10 @@
 #include <cstdio>
 #include <cstdlib>
 
+#include "config/properties.hpp"
+#include "config/settings.hpp"
+#include "config/settings_error.hpp"
+#include "config/tunables.hpp"
 #include "controller/controller.hpp"
 
 namespace {
@@ -58,13 +62,12 @@
     set_up_log();
     try {
         if (config.empty())
-            throw controller::SettingsError(
-                "--config: found nothing, allowed is the path of a settings file");
+            throw controller::SettingsError("--config", "nothing", "the path of a settings file");
         const auto settings = controller::parse_settings(controller::read_file(config));
         const auto props = properties.empty()
                                ? controller::Properties{}
                                : controller::parse_properties(controller::read_file(properties));
-        const auto tunables = controller::tune(props, settings);
+        const auto tunables = controller::parse_tunables(props, settings);
         if (check) {
             std::printf("settings are valid\n");
             return 0;
--- a/src/scaling/eviction_controller.hpp
+++ b/src/scaling/eviction_controller.hpp
@@ -6,6 +6,7 @@
 #include <set>
 
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "core/drain_planner.hpp"
 #include "core/free_capacity.hpp"
 #include "core/model.hpp"
--- a/src/scaling/instance_inventory.hpp
+++ b/src/scaling/instance_inventory.hpp
@@ -22,6 +22,7 @@
     /// Instances that one page of the cloud's list shows at most.
     static constexpr std::size_t kPageSize = 500;
 
+    /// Keys are machine ids.
     using InstancesByMachine = std::map<std::string, core::Instance>;
 
     /// What could be had of the cloud's list.
@@ -42,8 +43,10 @@
     void add_requested(const std::string& machine, const core::InstancePool& pool);
     /// The machine was released. Returns the pool that it came from; nothing when it was not known.
     std::optional<core::InstancePool> remove(const std::string& machine);
+    /// A new term starts: only the cloud's next list tells what there is.
     void clear() { known_.clear(); }
 
+    /// The cloud lists the machine, or is about to.
     bool contains(const std::string& machine) const { return known_.contains(machine); }
     /// Instances without a heartbeat yet that may still send one. Needs the catalog.
     std::vector<core::Instance> booting(io::Micros monotonic_now) const;
--- a/src/scaling/leader_term.hpp
+++ b/src/scaling/leader_term.hpp
@@ -15,6 +15,7 @@
     /// The cloud's list of instances was read whole in this term.
     bool inventory_read = false;
 
+    /// For how long this controller has led.
     core::Micros length(core::Micros monotonic_now) const { return monotonic_now - started_at; }
 };
 
--- a/src/scaling/scale_in.hpp
+++ b/src/scaling/scale_in.hpp
@@ -10,6 +10,7 @@
 #include "cluster/leadership.hpp"
 #include "cluster/local_health.hpp"
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "scaling/cordon_record.hpp"
 #include "scaling/instance_inventory.hpp"
 #include "scaling/leader_term.hpp"
--- a/src/scaling/scale_out.hpp
+++ b/src/scaling/scale_out.hpp
@@ -8,6 +8,7 @@
 
 #include "cluster/leadership.hpp"
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "core/free_capacity.hpp"
 #include "core/model.hpp"
 #include "core/scale_out_planner.hpp"
--- a/src/scaling/scaling_controller.hpp
+++ b/src/scaling/scaling_controller.hpp
@@ -9,6 +9,7 @@
 #include "cluster/leadership.hpp"
 #include "cluster/local_health.hpp"
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "io/http.hpp"
 #include "scaling/cloud_client.hpp"
 #include "scaling/cordon_record.hpp"
--- a/src/scheduling/command_dispatcher.hpp
+++ b/src/scheduling/command_dispatcher.hpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "cluster/leadership.hpp"
+#include "core/placement.hpp"
 #include "scheduling/open_attempt.hpp"
 #include "store/replicated_state.hpp"
 #include "workers/command_sender.hpp"
--- a/src/scheduling/shard_scheduler.hpp
+++ b/src/scheduling/shard_scheduler.hpp
@@ -8,6 +8,7 @@
 #include "cluster/peer_links.hpp"
 #include "cluster/peer_reservations.hpp"
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "scheduling/attempt_page_writer.hpp"
 #include "scheduling/attempt_reconciler.hpp"
 #include "scheduling/command_dispatcher.hpp"
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "config/settings.hpp"
+#include "config/tunables.hpp"
 #include "io/loop.hpp"
 #include "io/task.hpp"
 #include "store/change_signals.hpp"
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -65,7 +65,7 @@
         s.max_connections = 1000;
         s.skew_ms = 5;
         if (adjust) adjust(s);
-        controller::Tunables t = controller::tune({}, s);
+        controller::Tunables t = controller::parse_tunables({}, s);
         t.store_lease_ttl = Micros{1'200'000};
         t.store_lease_renewal_interval = Micros{250'000};
         t.lease_extension_ttl = Micros{700'000};
