--- a/src/core/cluster_view.cpp
+++ b/src/core/cluster_view.cpp
@@ -56,7 +56,7 @@
     return status.task == number && status.job == job ? &status : nullptr;
 }
 
-bool ClusterView::apply(WorkerHeartbeat heartbeat, Micros monotonic_now, Micros heard_wall, bool answer,
+bool ClusterView::apply(WorkerHeartbeat heartbeat, Micros monotonic_now, Micros answered_at, bool answer,
                         Micros stale_heartbeat_threshold) {
     // A late heartbeat must not bring back a machine that the cloud has confirmed as gone.
     if (released_.contains(heartbeat.machine)) return false;
@@ -71,7 +71,7 @@
         machine.confirmed = false;
     }
     machine.last_heartbeat_at = monotonic_now;
-    machine.heard = std::max(machine.heard, heard_wall);
+    machine.last_answered_at = std::max(machine.last_answered_at, answered_at);
     machine.notice_until.reset();
     if (heartbeat.notice_s) machine.notice_until = monotonic_now + from_seconds(*heartbeat.notice_s);
     // A worker whose lease expired keeps its images: the machine did not restart.
@@ -83,9 +83,9 @@
     return true;
 }
 
-bool ClusterView::alive(const std::string& machine, std::uint64_t incarnation,
-                        std::uint64_t heartbeat_sequence, std::uint64_t fencing_token,
-                        std::uint64_t content_sequence, Micros monotonic_now, Micros heard_wall) {
+bool ClusterView::apply_keep_alive(const std::string& machine, std::uint64_t incarnation,
+                                   std::uint64_t heartbeat_sequence, std::uint64_t fencing_token,
+                                   std::uint64_t content_sequence, Micros monotonic_now, Micros answered_at) {
     const auto known = machines_.find(machine);
     if (known == machines_.end()) return false;
     MachineView& view = known->second;
@@ -96,13 +96,14 @@
     heartbeat.heartbeat_sequence = heartbeat_sequence;
     heartbeat.fencing_token = std::max(heartbeat.fencing_token, fencing_token);
     view.last_heartbeat_at = monotonic_now;
-    view.heard = std::max(view.heard, heard_wall);
+    view.last_answered_at = std::max(view.last_answered_at, answered_at);
     return true;
 }
 
-void ClusterView::heard(const std::string& machine, Micros heard_wall) {
+void ClusterView::record_answer(const std::string& machine, Micros answered_at) {
     const auto known = machines_.find(machine);
-    if (known != machines_.end()) known->second.heard = std::max(known->second.heard, heard_wall);
+    if (known != machines_.end())
+        known->second.last_answered_at = std::max(known->second.last_answered_at, answered_at);
 }
 
 void ClusterView::record_image(const std::string& machine, const std::string& image, double gb,
--- a/src/core/cluster_view.hpp
+++ b/src/core/cluster_view.hpp
@@ -19,7 +19,7 @@
 struct MachineView {
     WorkerHeartbeat last_heartbeat;
     /// Wall clock: the newest heartbeat or command that was answered, by any controller.
-    Micros heard{};
+    Micros last_answered_at{};
     Micros last_heartbeat_at{};  ///< monotonic clock: when the newest heartbeat came in
     /// Sequence of the newest heartbeat that changed its incarnation, its tasks or its notice.
     std::uint64_t content_sequence = 0;
@@ -41,29 +41,33 @@
     const TaskStatus* task(const std::string& job, std::uint32_t number) const;
 };
 
+/// Written by WorkerStatus alone. A machine is in it from its first heartbeat on, until the cloud has
+/// confirmed that it is gone.
 class ClusterView {
   public:
     /// True when the heartbeat is news: newer (incarnation, heartbeat sequence) than the known one. Anything
     /// else is a late copy or a repeat, and changes nothing at all. `answer`: it came as the answer to a
     /// request, so it is no late copy. `stale_heartbeat_threshold`: a first heartbeat, one of a new
     /// incarnation, or one after that much silence proves nothing by itself: the machine has to answer before
-    /// it is used. `heard_wall`: as MachineView::heard.
-    bool apply(WorkerHeartbeat heartbeat, Micros monotonic_now, Micros heard_wall, bool answer = false,
+    /// it is used. `answered_at`: as MachineView::last_answered_at.
+    bool apply(WorkerHeartbeat heartbeat, Micros monotonic_now, Micros answered_at, bool answer = false,
                Micros stale_heartbeat_threshold = Micros::max());
     /// A controller had an answer from the machine at that time of the wall clock.
-    void heard(const std::string& machine, Micros heard_wall);
+    void record_answer(const std::string& machine, Micros answered_at);
     /// The machine has used the image. Keeps the most recently used ones up to `cache_gb`, as its cache does.
     void record_image(const std::string& machine, const std::string& image, double gb, double cache_gb,
                       Micros monotonic_now);
     /// The cloud has confirmed that the machine is gone, for good.
     void release(const std::string& machine, Micros monotonic_now);
+    /// Machines that are gone for good, as far as they are still remembered.
     const ReleasedMachines& released_machines() const { return released_; }
+    /// The cloud has confirmed that the machine is gone.
     bool released(const std::string& machine) const { return released_.contains(machine); }
     /// A heartbeat without changes of its tasks, passed on by another controller. False when this one has not
     /// seen the tasks that it refers to: then it must wait for a full heartbeat.
-    bool alive(const std::string& machine, std::uint64_t incarnation, std::uint64_t heartbeat_sequence,
-               std::uint64_t fencing_token, std::uint64_t content_sequence, Micros monotonic_now,
-               Micros heard_wall);
+    bool apply_keep_alive(const std::string& machine, std::uint64_t incarnation,
+                          std::uint64_t heartbeat_sequence, std::uint64_t fencing_token,
+                          std::uint64_t content_sequence, Micros monotonic_now, Micros answered_at);
     /// The machine has answered this controller, or another one that says so.
     void confirm(const std::string& machine);
     /// By machine id.
@@ -80,6 +84,7 @@
     ReleasedMachines released_;
 };
 
+/// What the cluster view tells of an attempt that the store records.
 enum class AttemptStatus : std::uint8_t {
     unlisted,  ///< the worker's newest heartbeat lacks it: its start may still be on the way
     live,
@@ -95,6 +100,7 @@
     ExitCause cause = ExitCause::none;
 };
 
+/// What is known of a recorded attempt.
 AttemptView view_attempt(const ClusterView& view, const std::string& job, std::uint32_t task,
                          const Attempt& attempt);
 /// The same for an attempt on a machine that is in the cluster view, without a search for it.
--- a/src/core/drain_planner.cpp
+++ b/src/core/drain_planner.cpp
@@ -149,8 +149,9 @@
           trial_(capacity, state.destinations) {}
 
     DrainResult run() {
-        std::erase_if(state_.recent_stops,
-                      [&](const auto& stop) { return input_.now - stop.second >= settings_.recent_stop; });
+        std::erase_if(state_.recent_stops, [&](const auto& stop) {
+            return input_.monotonic_now - stop.second >= settings_.recent_stop;
+        });
         DrainResult result;
         // What is being drained, and what was stopped and has no new place yet, must fit first.
         result.blocked = !relocate_draining() || !relocate_recently_stopped();
@@ -265,7 +266,7 @@
         std::map<std::string, Micros> since;
         for (const auto& id : candidates) {
             const auto known = state_.candidate_since.find(id);
-            since[id] = known == state_.candidate_since.end() ? input_.now : known->second;
+            since[id] = known == state_.candidate_since.end() ? input_.monotonic_now : known->second;
         }
         state_.candidate_since = std::move(since);
     }
@@ -274,7 +275,7 @@
     std::vector<std::string> due_candidates() const {
         std::vector<std::string> due;
         for (const auto& [id, since] : state_.candidate_since) {
-            if (input_.now - since >= settings_.unneeded) due.push_back(id);
+            if (input_.monotonic_now - since >= settings_.unneeded) due.push_back(id);
         }
         std::stable_sort(due.begin(), due.end(), [&](const std::string& left, const std::string& right) {
             return capacity_.find(left)->price() > capacity_.find(right)->price();
--- a/src/core/drain_planner.hpp
+++ b/src/core/drain_planner.hpp
@@ -14,6 +14,7 @@
 
 namespace hatchwind::core {
 
+/// See docs/operations.md for the properties that set these.
 struct DrainSettings {
     double use_threshold = 0.5;      ///< only machines with a smaller used part of their CPUs are candidates
     Micros unneeded{30'000'000};     ///< how long a machine has to be a candidate before it is drained
@@ -30,15 +31,18 @@
     std::map<TaskRef, Micros> recent_stops;         ///< when the task was stopped; the caller adds to it
 };
 
+/// What the planner decides by. Pointers are not null.
 struct DrainInput {
     const JobTable* job_table = nullptr;
     const ClusterView* cluster_view = nullptr;
     std::set<std::string> draining;
     std::set<std::string> protected_machines;  ///< never candidates: gangs, or needed as they are
-    Micros now{};                              ///< monotonic clock
+    Micros monotonic_now{};                    ///< monotonic clock
+    /// Ends the search for candidates; those found so far count.
     std::function<bool()> out_of_time = [] { return false; };
 };
 
+/// Machines that the planner chose in one round.
 struct DrainResult {
     std::vector<std::string> empty;  ///< to be released at once
     std::vector<std::string> busy;   ///< to be drained, then released
--- a/src/core/epoch.hpp
+++ b/src/core/epoch.hpp
@@ -115,6 +115,7 @@
                      Micros monotonic_now);
     /// The store lease, or the key of this member, is gone: the leadership lease ends at once.
     void lost();
+    /// The controller may act now.
     bool alive(Micros monotonic_now) const { return monotonic_now < until(); }
     /// Micros::min() when it is not held.
     Micros until() const { return until_; }
--- a/src/core/free_capacity.cpp
+++ b/src/core/free_capacity.cpp
@@ -21,7 +21,7 @@
 bool is_usable(const MachineView& view, const Availability& availability) {
     return view.confirmed && !view.notice_until &&
            availability.now - view.last_heartbeat_at < availability.silent_after &&
-           view.heard >= availability.heard_since;
+           view.last_answered_at >= availability.answered_since;
 }
 
 MachineCapacity empty_machine(const std::string& id, const MachineView& view, const MachineType& type,
--- a/src/core/free_capacity.hpp
+++ b/src/core/free_capacity.hpp
@@ -44,7 +44,7 @@
     Micros now{};           ///< monotonic clock
     Micros silent_after{};  ///< a machine without a heartbeat for this long takes nothing new
     /// Wall clock: a machine with no heartbeat answered since then takes nothing new either.
-    Micros heard_since = Micros::min();
+    Micros answered_since = Micros::min();
     std::set<std::string> draining;
     std::set<std::string> candidates;            ///< of the drain planner
     std::map<std::string, Micros> banned_until;  ///< monotonic clock: where tasks failed or were refused
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -49,7 +49,7 @@
     // Overdue jobs of different shards may try for the same capacity; only other jobs keep away from it.
     void reserve_for_overdue_of_peers() {
         for (const auto& reservation : trial_.input().peer_reservations) {
-            if (reservation.waiting) trial_.reserve(reservation);
+            if (reservation.for_overdue_job) trial_.reserve(reservation);
         }
     }
 
--- a/src/core/placement.hpp
+++ b/src/core/placement.hpp
@@ -39,7 +39,7 @@
     Micros until{};  ///< monotonic clock
     /// Nothing was stopped for it: an overdue job waits for what is freed. Made anew in each pass, the oldest
     /// job first; reservations that lasted let two jobs keep each other from one machine for ever.
-    bool waiting = false;
+    bool for_overdue_job = false;
 };
 
 /// What a pass decides by. Pointers are not null unless said otherwise, and outlive the pass.
--- a/src/core/placement_trial.cpp
+++ b/src/core/placement_trial.cpp
@@ -13,12 +13,12 @@
 
 void PlacementTrial::reserve_known() {
     for (const auto& [task, reservation] : input_.reservations) {
-        if (reservation.until <= input_.now || reservation.waiting) continue;
+        if (reservation.until <= input_.now || reservation.for_overdue_job) continue;
         result_.reservations.emplace(task, reservation);
         reserve(reservation);
     }
     for (const auto& reservation : input_.peer_reservations) {
-        if (!reservation.waiting) reserve(reservation);
+        if (!reservation.for_overdue_job) reserve(reservation);
     }
 }
 
--- a/src/core/scale_out_planner.cpp
+++ b/src/core/scale_out_planner.cpp
@@ -180,7 +180,7 @@
     void consider(const InstancePool& pool, double price, double cpus_used,
                   std::optional<PoolChoice>& best) const {
         const auto refused = input_.refused_until.find(pool);
-        if (refused != input_.refused_until.end() && refused->second > input_.now) return;
+        if (refused != input_.refused_until.end() && refused->second > input_.monotonic_now) return;
         const PoolCost cost{price / std::max(cpus_used, kLeastUsedCpus), machines_in(pool.zone)};
         if (!best || cost < best->cost) best = PoolChoice{pool, cost};
     }
--- a/src/core/scale_out_planner.hpp
+++ b/src/core/scale_out_planner.hpp
@@ -44,7 +44,7 @@
     const PipelineSchedule* pipelines = nullptr;   ///< null: no job waits for others
     std::vector<Instance> booting;                 ///< requested, without a heartbeat yet, and not overdue
     std::map<InstancePool, Micros> refused_until;  ///< monotonic clock
-    Micros now{};                                  ///< monotonic clock
+    Micros monotonic_now{};                        ///< monotonic clock
     Micros wall_clock_now{};                       ///< wall clock
 };
 
--- a/src/mesh/peer_mesh.cpp
+++ b/src/mesh/peer_mesh.cpp
@@ -46,7 +46,7 @@
     link.answered_until = Micros{0};
     link.released_told = 0;
     for (const auto& [machine, view] : workers_.cluster_view().machines()) {
-        wire::WorkerStatusUpdate update = status_update(view, view.heard);
+        wire::WorkerStatusUpdate update = status_update(view, view.last_answered_at);
         for (const auto& [name, image] : view.images) update.images.emplace_back(name, image.gb);
         link.out += wire::encode_frame(update);
     }
--- a/src/scaling/eviction_controller.cpp
+++ b/src/scaling/eviction_controller.cpp
@@ -54,7 +54,7 @@
     core::DrainInput input;
     input.job_table = &context_.replicated.job_table();
     input.cluster_view = &cluster_view;
-    input.now = monotonic_now;
+    input.monotonic_now = monotonic_now;
     for (const auto& machine : context_.replicated.draining()) {
         if (cluster_view.find(machine) != nullptr) input.draining.insert(machine);
     }
--- a/src/scaling/scale_in.cpp
+++ b/src/scaling/scale_in.cpp
@@ -17,7 +17,7 @@
 namespace {
 // For a cordon to reach the other controllers' cluster views.
 constexpr Micros kCordonPropagation{500'000};
-// A leader this long in its term has heard of the instances that earlier leaders requested.
+// A leader this long in its term has seen the instances that earlier leaders requested.
 constexpr Micros kTermKnowsInstances{10'000'000};
 constexpr Micros kUnresponsiveReleaseWindow{60'000'000};
 // Cordons of machines that are gone do no harm, so several are removed in one write, or all after some time.
--- a/src/scaling/scale_out.cpp
+++ b/src/scaling/scale_out.cpp
@@ -27,7 +27,7 @@
     input.catalog = &*context_.catalog;
     input.teams = &context_.settings.teams;
     input.objectives = &context_.settings.objectives;
-    input.now = monotonic_now;
+    input.monotonic_now = monotonic_now;
     input.wall_clock_now = io::wall_now();
     input.refused_until = backoff_.refused_until();
     input.booting = context_.inventory.booting(monotonic_now);
--- a/src/scheduling/placement_round.cpp
+++ b/src/scheduling/placement_round.cpp
@@ -91,7 +91,7 @@
         const auto lasts_us = static_cast<std::uint64_t>((reservation.until - now).count());
         links_.broadcast(wire::CapacityReservationNotice{reservation.machine, task.job, task.task,
                                                          resources.cpus, resources.gpus, resources.memory_gb,
-                                                         lasts_us, reservation.waiting});
+                                                         lasts_us, reservation.for_overdue_job});
     }
 }
 
--- a/src/workers/worker_status.cpp
+++ b/src/workers/worker_status.cpp
@@ -49,7 +49,7 @@
                               is_of_recent_epoch(heartbeat, now);
     if (!cluster_view_.apply(std::move(heartbeat), now, answered_at, proves_alive,
                              stale_heartbeat_threshold())) {
-        if (answered_at.count() != 0) cluster_view_.heard(machine, answered_at);
+        if (answered_at.count() != 0) cluster_view_.record_answer(machine, answered_at);
         return false;
     }
     const StatusVersion after = status_version(machine);
@@ -149,7 +149,7 @@
 void WorkerStatus::apply_peer_renewal(const std::string& machine, Micros renewed_at) {
     if (cluster_view_.released(machine)) return;
     context_.leases.record_peer_renewal(machine, renewed_at);
-    cluster_view_.heard(machine, renewed_at);
+    cluster_view_.record_answer(machine, renewed_at);
 }
 
 void WorkerStatus::record_answer_by_peer(const std::string& machine, Micros answered_at) {
@@ -172,8 +172,9 @@
     const Micros answered_at{keep_alive.heard_us};
     if (cluster_view_.released(keep_alive.machine)) return;
     record_answer_by_peer(keep_alive.machine, answered_at);
-    cluster_view_.alive(keep_alive.machine, keep_alive.incarnation, keep_alive.heartbeat_sequence,
-                        keep_alive.fencing_token, keep_alive.content_sequence, io::steady_now(), answered_at);
+    cluster_view_.apply_keep_alive(keep_alive.machine, keep_alive.incarnation, keep_alive.heartbeat_sequence,
+                                   keep_alive.fencing_token, keep_alive.content_sequence, io::steady_now(),
+                                   answered_at);
 }
 
 void WorkerStatus::record_released(const std::string& machine) {
@@ -200,7 +201,7 @@
         core::from_seconds(context_.settings.report_s * kUnresponsiveIntervals + kUnresponsiveGraceSeconds);
     // A worker whose heartbeats reach no controller keeps no lease: its tasks would end with each of its
     // incarnations.
-    availability.heard_since = io::wall_now() - availability.silent_after;
+    availability.answered_since = io::wall_now() - availability.silent_after;
     availability.draining = context_.replicated.draining();
     availability.candidates = drain_candidates_;
     // One that sends heartbeats but does not answer gets no new tasks: its lease expires on its own side.
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -73,10 +73,10 @@
     core::Availability availability;
     availability.now = kSecond;
     availability.silent_after = 5 * kSecond;
-    availability.heard_since = 45 * kSecond;
+    availability.answered_since = 45 * kSecond;
     EXPECT_TRUE(
         core::FreeCapacity::build(cluster_view, job_table, catalog, availability).machines().front().usable);
-    availability.heard_since = 55 * kSecond;
+    availability.answered_since = 55 * kSecond;
     EXPECT_FALSE(
         core::FreeCapacity::build(cluster_view, job_table, catalog, availability).machines().front().usable);
 }
--- a/tests/pipeline_schedule_test.cpp
+++ b/tests/pipeline_schedule_test.cpp
@@ -56,7 +56,7 @@
     input.teams = &cluster.teams;
     input.objectives = &cluster.objectives;
     input.pipelines = &pipelines;
-    input.now = cluster.now;
+    input.monotonic_now = cluster.now;
     input.wall_clock_now = cluster.now;
     return input;
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -12,7 +12,7 @@
     core::DrainInput in;
     in.job_table = &c.job_table;
     in.cluster_view = &c.cluster_view;
-    in.now = c.now;
+    in.monotonic_now = c.now;
     return in;
 }
 
@@ -23,7 +23,7 @@
     in.catalog = &c.types;
     in.teams = &c.teams;
     in.objectives = &c.objectives;
-    in.now = c.now;
+    in.monotonic_now = c.now;
     return in;
 }
 
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -201,8 +201,8 @@
                 if (whole) {
                     mirror.apply(m.last_heartbeat, now, now);
                 } else {
-                    mirror.alive("n-1", r.incarnation, r.heartbeat_sequence, r.fencing_token,
-                                 m.content_sequence, now, now);
+                    mirror.apply_keep_alive("n-1", r.incarnation, r.heartbeat_sequence, r.fencing_token,
+                                            m.content_sequence, now, now);
                 }
             }
             if (const auto* seen = mirror.find("n-1")) {
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -145,7 +145,7 @@
                 for (const auto& [task, a] : chunk.open) {
                     const auto v = core::view_attempt(c.cluster_view, id, task, a);
                     const bool over =
-                        at(now) - c.cluster_view.find(a.machine)->heard > at(kLease + 1) - at(0);
+                        at(now) - c.cluster_view.find(a.machine)->last_answered_at > at(kLease + 1) - at(0);
                     if (v.status == core::AttemptStatus::unlisted && !over) {
                         workers.at(a.machine).recorded_attempts.push_back(
                             {id, task, a});  // the same start again
