--- a/src/scheduling/cancellation_enforcer.hpp
+++ b/src/scheduling/cancellation_enforcer.hpp
@@ -1,9 +1,10 @@
-// Sees to it that the tasks of cancelled jobs end in time when the job's owner cannot.
-//
-// An owner may be unable to see the store, to act at all, or to reach a machine for longer than a
-// cancellation may take. Stopping a cancelled task needs no record, so every node that knows the cancellation
-// and may act stops what it sees running; and giving a machine back to the cloud ends its tasks for certain,
-// so any node may do that for one which stays silent, in an outage of the store too.
+/// Ends the tasks of cancelled jobs in time when the job's shard owner cannot. Owns when this controller last
+/// stopped which task.
+///
+/// A shard owner may be unable to see the store, to act at all, or to reach a machine for longer than a
+/// cancellation may take. Stopping a cancelled task needs no record, so every controller that knows the
+/// cancellation and may act stops what it sees running; and releasing a machine at the cloud ends its tasks
+/// for certain, so any controller may do that for an unresponsive one, in an outage of the store too.
 #pragma once
 
 #include <map>
@@ -21,6 +22,7 @@
 
 namespace hatchwind::controller {
 
+/// Reads replica and workers' status; changes commands, probes and, by releases, the fleet.
 class CancellationEnforcer {
   public:
     CancellationEnforcer(io::Loop& loop, const Settings& settings, const ReplicatedState& replicated,
@@ -34,22 +36,28 @@
           probes_(probes),
           commands_(commands),
           scaling_(scaling) {}
-    // Runs for as long as the node lives.
+    /// Runs for as long as the controller lives.
     io::Task<void> run();
 
   private:
-    // One task of a cancelled job that is not known to have ended.
-    struct Remaining {
+    /// Whether this controller schedules the task's job, and so stops it as the shard owner.
+    enum class ShardOwner : std::uint8_t { this_controller, other };
+    /// One task of a cancelled job that is not known to have ended.
+    struct OpenTask {
         core::TaskRef task;
         core::Attempt attempt;
         core::AttemptStatus status = core::AttemptStatus::silent;
         io::Micros cancelled_for{0};
-        bool owned_here = false;
+        ShardOwner shard_owner = ShardOwner::other;
     };
-    std::vector<Remaining> remaining() const;
-    void stop_listed(const std::vector<Remaining>& tasks);
-    // Machines which have to be released now, so that their tasks end in time.
-    std::vector<std::string> overdue_machines(const std::vector<Remaining>& tasks);
+    std::vector<OpenTask> open_tasks() const;
+    void stop_listed(const std::vector<OpenTask>& tasks);
+    /// Machines which have to be released now, so that their tasks end in time. Requests a probe of those
+    /// that come close.
+    std::vector<std::string> overdue_machines(const std::vector<OpenTask>& tasks);
+    /// How long after its cancellation this controller releases a task's machine.
+    io::Micros release_after(const OpenTask& task) const;
+    /// A share of the time that a cancellation may take.
     io::Micros share_of_limit(double share) const;
 
     io::Loop& loop_;
@@ -60,7 +68,7 @@
     ReachabilityProbes& probes_;
     CommandSender& commands_;
     ScalingController& scaling_;
-    std::map<core::TaskRef, io::Micros> stopped_at_;  // steady: when this node last stopped a task of others
+    std::map<core::TaskRef, io::Micros> stopped_at_;  // monotonic clock: tasks of other shard owners
 };
 
 }  // namespace hatchwind::controller
