--- a/src/scheduling/attempt_page_writer.hpp
+++ b/src/scheduling/attempt_page_writer.hpp
@@ -1,4 +1,5 @@
-// Groups staged records into units to be written: one for each job that is over, one for each attempt page.
+/// Groups staged records into units to be written: one for each job that is over, one for each attempt page.
+/// Owns how long completions have been held back for company.
 #pragma once
 
 #include <map>
@@ -16,43 +17,58 @@
 
 namespace hatchwind::controller {
 
+/// Reads the replica; what it decides is written by GroupCommit.
 class AttemptPageWriter {
   public:
     AttemptPageWriter(const Settings& settings, const ReplicatedState& replicated,
                       const Leadership& leadership, const WorkerStatus& workers)
         : settings_(settings), replicated_(replicated), leadership_(leadership), workers_(workers) {}
 
-    // Most pressing first. Takes the records of finished jobs out of `staged`, and gives chunks their pages.
-    // `now`: steady.
-    std::vector<WriteUnit> units(StagedRecords& staged, io::Micros now);
-    // The chunks are written.
-    void written(const std::vector<core::ChunkKey>& chunks);
+    /// The units of a pass, by rank. Takes the records of finished jobs out of `staged`, and gives chunks
+    /// their pages.
+    std::vector<WriteUnit> write_units(StagedRecords& staged, io::Micros monotonic_now);
+    /// The chunks are committed: what they say waits no more.
+    void record_committed(const std::vector<core::ChunkKey>& chunks);
+    /// Forgets what earlier epochs have held back.
     void start_epoch() { waiting_since_.clear(); }
 
   private:
     using JobSet = std::set<std::string>;
-    using PageKeys = std::set<core::AttemptPageKey>;
 
+    /// What the page units of one pass share.
+    struct PagePass {
+        const StagedRecords& staged;
+        const JobSet& ending_jobs;
+        io::Micros monotonic_now;
+        std::set<core::AttemptPageKey> written_pages;  // grows with each part of a page that is split
+    };
+
+    /// The final state replaces the job's record in one step. What its pages say of it leaves with their next
+    /// writes.
     WriteUnit finish_unit(const std::string& job, StagedRecords& staged) const;
-    WriteUnit page_unit(const core::AttemptPageKey& page, const std::vector<core::ChunkKey>& chunks,
-                        const StagedRecords& staged, const JobSet& ending, io::Micros now, PageKeys& taken);
-    // The write of a page; in parts if it is larger than the store takes by now. `taken`: pages that
-    // are written in this pass.
-    void add_page(WriteUnit& unit, const core::AttemptPageKey& page, const PageContent& content,
-                  PageKeys& taken) const;
-    // What the page has now, the jobs apart that end.
-    PageContent known_content(const core::AttemptPageKey& page, const JobSet& ending) const;
-    void add_chunk(WriteUnit& unit, const core::ChunkKey& key, const ChunkRecord& record, io::Micros now);
-    WriteRank rank_of(const core::ChunkKey& key, const ChunkRecord& record, bool production, io::Micros now);
-
-    // What the team's recorded attempts use leaves little of its limit.
-    bool near_limit(const std::string& team) const;
+    WriteUnit page_unit(PagePass& pass, const core::AttemptPageKey& page,
+                        const std::vector<core::ChunkKey>& chunks);
+    /// Adds the write of a page; in parts if it is larger than the store takes by now.
+    void add_page(PagePass& pass, WriteUnit& unit, const core::AttemptPageKey& page,
+                  const PageContent& content) const;
+    void add_chunk(WriteUnit& unit, const core::ChunkKey& key, const ChunkRecord& record,
+                   io::Micros monotonic_now);
+    WriteRank rank_of(const core::ChunkKey& key, const ChunkRecord& record, const core::Job& job,
+                      io::Micros monotonic_now);
+
+    /// 0: the page does not exist.
+    core::Revision mod_revision_of(const core::AttemptPageKey& page) const;
+    /// What the page has now, without the jobs that end.
+    PageContent current_content(const core::AttemptPageKey& page, const JobSet& ending_jobs) const;
+    std::uint32_t done_tasks(const core::JobEntry& entry, const StagedRecords& staged) const;
+    /// What the team's recorded attempts use leaves little of its limit.
+    bool is_near_limit(const std::string& team) const;
 
     const Settings& settings_;
     const ReplicatedState& replicated_;
     const Leadership& leadership_;
     const WorkerStatus& workers_;
-    std::map<core::ChunkKey, io::Micros> waiting_since_;  // completions that wait for company; steady
+    std::map<core::ChunkKey, io::Micros> waiting_since_;  // monotonic clock: completions not yet written
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/attempt_reconciler.hpp
+++ b/src/scheduling/attempt_reconciler.hpp
@@ -1,5 +1,6 @@
-// Settlement of attempts: compares what is recorded as open with what the machines report, closes what has
-// ended, repeats what has not arrived and stops what must not go on.
+/// Reconciliation of attempts: compares what is recorded as open with what the workers list, closes what has
+/// ended, repeats what has not arrived and stops what must not go on. Owns what each machine looked like in
+/// the last pass.
 #pragma once
 
 #include <string>
@@ -17,68 +18,82 @@
 
 namespace hatchwind::controller {
 
+/// Reads the replica and the workers' status; changes commands, failure backoff and the incarnations that
+/// worker leases remember.
 class AttemptReconciler {
   public:
     AttemptReconciler(const Settings& settings, const ReplicatedState& replicated,
                       const Leadership& leadership, const WorkerStatus& workers, WorkerLeases& leases,
-                      CommandDispatcher& dispatch, FailureBackoff& failure_backoff)
+                      CommandDispatcher& dispatcher, FailureBackoff& failure_backoff)
         : settings_(settings),
           replicated_(replicated),
           leadership_(leadership),
           workers_(workers),
           leases_(leases),
-          dispatch_(dispatch),
+          dispatcher_(dispatcher),
           failure_backoff_(failure_backoff) {}
 
-    // Stages the ends of this shard owner's attempts, and its jobs that are over with them.
+    /// Stages the ends of the attempts of this controller's shard, and the jobs that are over with them.
     void reconcile(StagedRecords& staged);
+    /// Looks at every attempt anew.
     void start_epoch() { reconciled_.clear(); }
 
   private:
-    // What is the same for all attempts on one machine.
+    /// What is the same for all attempts on one machine.
     struct MachineState {
         const core::MachineView* view = nullptr;  // null: not in the cluster view
-        bool quiet = false;                       // without news for so long that its leases may have ended
-        io::Micros now{0};                        // steady
+        bool unresponsive = false;                // for so long that its lease may have expired
+        io::Micros monotonic_now{0};
     };
-    // A machine with recorded attempts, as the last pass left it.
+    /// When an attempt or a machine has to be looked at again.
+    enum class Revisit : std::uint8_t {
+        on_change,  // of its machine, its record or its job
+        next_pass,
+    };
+    /// A machine with recorded attempts, as the last pass left it.
     struct ReconciledMachine {
         std::string machine;
         std::uint64_t incarnation = 0;
         std::uint64_t content_sequence = 0;
-        std::uint64_t version = 0;
-        bool unchanged = false;  // nothing to do before one of these changes
+        std::uint64_t version = 0;  // of its recorded attempts
+        Revisit revisit = Revisit::next_pass;
     };
 
-    MachineState look_at(const core::MachineView* view, io::Micros now) const;
-    bool owns_a_team() const;
-    bool leaving(const core::MachineView& view, const std::string& machine) const;
+    MachineState state_of(const core::MachineView* view, io::Micros monotonic_now) const;
+    bool owns_any_shard() const;
+    /// The cloud takes the machine away, or it is cordoned.
+    bool is_leaving(const core::MachineView& view, const std::string& machine) const;
 
     void reconcile_machines(StagedRecords& staged);
-    bool still_unchanged(const ReconciledMachine* before, const ReconciledMachine& now,
-                         const MachineState& state) const;
-    // True when there is nothing to do for the machine before something of it changes.
-    bool reconcile_machine(StagedRecords& staged, const std::string& machine,
-                           const core::RecordedAttempts& tasks, const MachineState& state);
+    /// `previous`: null when the machine had no attempts in the last pass.
+    ReconciledMachine reconcile_machine(StagedRecords& staged, const std::string& machine,
+                                        const core::MachineTasks& recorded, const MachineState& state,
+                                        const ReconciledMachine* previous);
+    bool is_unchanged(const ReconciledMachine* previous, const ReconciledMachine& current,
+                      const MachineState& state) const;
+    Revisit reconcile_attempts(StagedRecords& staged, const std::string& machine,
+                               const core::RecordedAttempts& tasks, const MachineState& state);
     void reconcile_cancelled(StagedRecords& staged);
-    void find_finished(StagedRecords& staged) const;
+    void find_finished_jobs(StagedRecords& staged) const;
 
-    // True when there is nothing to do for it before its machine, its record or its job changes.
-    bool settle_attempt(StagedRecords& staged, const OpenAttempt& open, const MachineState& state);
-    void settle_exited(StagedRecords& staged, const OpenAttempt& open, core::ExitCause cause);
-    void settle_unlisted(StagedRecords& staged, const OpenAttempt& open, const MachineState& state);
-    bool settle_live(const OpenAttempt& open, const MachineState& state, core::TaskState task);
+    Revisit reconcile_attempt(StagedRecords& staged, const OpenAttempt& open, const MachineState& state);
+    void reconcile_exited(StagedRecords& staged, const OpenAttempt& open, core::ExitCause cause);
+    void reconcile_unlisted(StagedRecords& staged, const OpenAttempt& open, const MachineState& state);
+    Revisit reconcile_live(const OpenAttempt& open, const MachineState& state, core::TaskState task);
+    /// The cloud takes the machine: save at the last moment that surely suffices; what cannot save runs on.
     void save_before_notice(const OpenAttempt& open, io::Micros time_left, core::TaskState task);
-    void move_off(const OpenAttempt& open, core::TaskState task);
+    /// The machine is cordoned: what saves is moved, services are moved, plain tasks run to their end.
+    void evict_gracefully(const OpenAttempt& open, core::TaskState task);
 
     const Settings& settings_;
     const ReplicatedState& replicated_;
     const Leadership& leadership_;
     const WorkerStatus& workers_;
     WorkerLeases& leases_;
-    CommandDispatcher& dispatch_;
+    CommandDispatcher& dispatcher_;
     FailureBackoff& failure_backoff_;
-    // In order: most are as they were, and looking at every attempt in every pass took half of a node's time.
+    // In the order of the machines' ids. Most are as they were, and looking at every attempt in every pass
+    // took half of a controller's time.
     std::vector<ReconciledMachine> reconciled_;
     std::vector<ReconciledMachine> spare_reconciled_;  // its memory serves the next pass
 };
--- a/src/scheduling/command_dispatcher.cpp
+++ b/src/scheduling/command_dispatcher.cpp
@@ -11,56 +11,64 @@
 using io::steady_now;
 
 namespace {
-constexpr Micros kResendStart{1'200'000};
+constexpr Micros kStartResendInterval{1'200'000};
 constexpr Micros kOrphanCheckInterval{2'000'000};
 }  // namespace
 
-CommandDispatcher::SentCommands& CommandDispatcher::sent(const OpenAttempt& open) {
-    SentCommands& commands = sent_[{open.job(), open.task}];
-    if (commands.attempt != open.attempt.number)
-        commands = SentCommands{open.attempt.number, Micros{0}, Micros{0}};
-    return commands;
+CommandDispatcher::SentCommands& CommandDispatcher::sent_commands(const OpenAttempt& open) {
+    SentCommands& sent = sent_commands_[{open.job(), open.task}];
+    if (sent.attempt != open.attempt.number) sent = SentCommands{open.attempt.number, Micros{0}, Micros{0}};
+    return sent;
 }
 
-void CommandDispatcher::order(CommandKind kind, const OpenAttempt& open, double grace_s) {
+void CommandDispatcher::enqueue(CommandKind kind, const OpenAttempt& open, double grace_s) {
     commands_.enqueue(open.attempt.machine, open.attempt.incarnation,
                       {kind, open.job(), open.task, open.attempt.number, grace_s});
 }
 
+void CommandDispatcher::enqueue(CommandKind kind, const TaskAttempt& recorded) {
+    const core::Attempt& attempt = recorded.attempt;
+    commands_.enqueue(attempt.machine, attempt.incarnation,
+                      {kind, recorded.job, recorded.task, attempt.number, kNoGrace});
+}
+
+void CommandDispatcher::enqueue(CommandKind kind, const ListedAttempt& listed, std::uint64_t incarnation) {
+    commands_.enqueue(listed.machine, incarnation, {kind, listed.job, listed.task, listed.attempt, kNoGrace});
+}
+
 bool CommandDispatcher::start_pending(const OpenAttempt& open) const {
     return commands_.start_pending(open.job(), open.task, open.attempt.number);
 }
 
-void CommandDispatcher::start_recorded(const TaskAttempt& started) {
-    const core::Attempt& attempt = started.attempt;
-    sent_[{started.job, started.task}] = SentCommands{attempt.number, steady_now(), Micros{0}};
-    commands_.enqueue(attempt.machine, attempt.incarnation,
-                      {CommandKind::start, started.job, started.task, attempt.number, 0});
+void CommandDispatcher::dispatch_start(const TaskAttempt& started) {
+    sent_commands_[{started.job, started.task}] =
+        SentCommands{started.attempt.number, steady_now(), Micros{0}};
+    enqueue(CommandKind::start, started);
 }
 
-void CommandDispatcher::repeat_start(const OpenAttempt& open, Micros now) {
-    SentCommands& commands = sent(open);
-    if (now - commands.last_start < kResendStart) return;
-    commands.last_start = now;
-    order(CommandKind::start, open);
+void CommandDispatcher::repeat_start(const OpenAttempt& open, Micros monotonic_now) {
+    SentCommands& sent = sent_commands(open);
+    if (monotonic_now - sent.last_start < kStartResendInterval) return;
+    sent.last_start = monotonic_now;
+    enqueue(CommandKind::start, open);
 }
 
-void CommandDispatcher::stop(const OpenAttempt& open, double grace_s, Micros interval) {
-    SentCommands& commands = sent(open);
+void CommandDispatcher::stop(const OpenAttempt& open, double grace_s, Micros resend_interval) {
+    SentCommands& sent = sent_commands(open);
     const Micros now = steady_now();
-    if (now - commands.last_stop < interval) return;
-    commands.last_stop = now;
-    order(CommandKind::stop, open, grace_s);
+    if (now - sent.last_stop < resend_interval) return;
+    sent.last_stop = now;
+    enqueue(CommandKind::stop, open, grace_s);
 }
 
-void CommandDispatcher::stop_unlisted(const OpenAttempt& open, Micros now) {
-    SentCommands& commands = sent(open);
-    if (now - commands.last_stop < kResendStop) return;
+void CommandDispatcher::stop_unlisted(const OpenAttempt& open, Micros monotonic_now) {
+    SentCommands& sent = sent_commands(open);
+    if (monotonic_now - sent.last_stop < kStopResendInterval) return;
+    sent.last_stop = monotonic_now;
     // Brings the worker to this fencing token, and ends a start that is under way as soon as it arrives: the
     // same start first, so that the stop has something to end.
-    commands.last_stop = now;
-    if (start_pending(open)) order(CommandKind::start, open);
-    order(CommandKind::stop, open);
+    if (start_pending(open)) enqueue(CommandKind::start, open);
+    enqueue(CommandKind::stop, open);
 }
 
 void CommandDispatcher::preempt(const core::Stop& stop) {
@@ -68,33 +76,29 @@
                       {CommandKind::stop, stop.job, stop.task, stop.attempt.number, stop.grace_s});
 }
 
-// The end is committed. The exited attempt leaves the worker's list once no copy of its start can arrive.
 void CommandDispatcher::acknowledge_exits() {
     std::erase_if(exits_to_acknowledge_, [&](const TaskAttempt& closed) {
-        const core::Attempt& attempt = closed.attempt;
-        if (commands_.start_pending(closed.job, closed.task, attempt.number)) return false;
-        const auto view = core::view_attempt(workers_.cluster_view(), closed.job, closed.task, attempt);
-        if (view.status == AttemptStatus::exited) {
-            commands_.enqueue(attempt.machine, attempt.incarnation,
-                              {CommandKind::acknowledge_exit, closed.job, closed.task, attempt.number, 0});
-        }
+        if (commands_.start_pending(closed.job, closed.task, closed.attempt.number)) return false;
+        const auto view =
+            core::view_attempt(workers_.cluster_view(), closed.job, closed.task, closed.attempt);
+        if (view.status == AttemptStatus::exited) enqueue(CommandKind::acknowledge_exit, closed);
         return true;
     });
 }
 
-// Leftovers of earlier epochs. What is listed without an open record was closed by an earlier owner; its
-// starts carried a lower fencing token, so once the worker has ours none of them can still take effect.
+// What is listed without an open record was closed by the shard owner of an earlier epoch; its starts carried
+// a lower fencing token, so once the worker has ours none of them can still take effect.
 bool CommandDispatcher::reconcile_orphans() {
     const Micros now = steady_now();
     if (now - last_orphan_check_ < kOrphanCheckInterval) return false;
     last_orphan_check_ = now;
-    OrphanTasks seen;
+    Orphans found;
     for (const auto& [machine, view] : workers_.cluster_view().machines()) {
         if (view.last_heartbeat.fencing_token >= replicated_.epoch().number)
-            stop_orphans(machine, view, now, seen);
+            reconcile_machine(machine, view, now, found);
     }
-    orphans_ = std::move(seen);
-    std::erase_if(sent_, [&](const auto& sent) {
+    orphans_ = std::move(found);
+    std::erase_if(sent_commands_, [&](const auto& sent) {
         return replicated_.job_table().open_attempt(sent.first.job, sent.first.task) == nullptr;
     });
     return true;
@@ -110,34 +114,36 @@
     return !commands_.start_pending(listed.job, listed.task, listed.attempt);
 }
 
-void CommandDispatcher::stop_orphans(const std::string& machine, const core::MachineView& view, Micros now,
-                                     OrphanTasks& seen) {
-    // A silent machine's last report may list what its lease has ended since.
-    const bool heard = now - view.last_heartbeat_at < workers_.stale_heartbeat_threshold();
+void CommandDispatcher::reconcile_machine(const std::string& machine, const core::MachineView& view,
+                                          Micros monotonic_now, Orphans& found) {
+    const bool is_fresh = monotonic_now - view.last_heartbeat_at < workers_.stale_heartbeat_threshold();
+    const HeartbeatAge age = is_fresh ? HeartbeatAge::fresh : HeartbeatAge::stale;
     for (const auto& listed : view.last_heartbeat.tasks) {
         if (!is_orphan(machine, listed)) continue;
-        stop_orphan({machine, listed.job, listed.task, listed.attempt}, view, listed.state, heard, seen);
+        reconcile_orphan({machine, listed.job, listed.task, listed.attempt}, view, listed.state, age, found);
     }
 }
 
-void CommandDispatcher::stop_orphan(const ReportedAttempt& orphan, const core::MachineView& view,
-                                    TaskState state, bool heard, OrphanTasks& seen) {
-    const auto before = orphans_.find(orphan);
-    // Nobody else has sent starts of this node's tasks under this epoch, and those of earlier ones are void.
-    // Of a job that is over the shard shard owner's may be under way: only when first seen before this epoch.
-    const std::uint64_t first = before == orphans_.end() ? replicated_.epoch().number : before->second;
-    seen[orphan] = first;
+void CommandDispatcher::reconcile_orphan(const ListedAttempt& orphan, const core::MachineView& view,
+                                         TaskState state, HeartbeatAge age, Orphans& found) {
+    const std::uint64_t epoch = replicated_.epoch().number;
+    const auto known = orphans_.find(orphan);
+    const std::uint64_t first_seen_epoch = known == orphans_.end() ? epoch : known->second;
+    found[orphan] = first_seen_epoch;
     if (state == TaskState::exited) {
-        const bool own = replicated_.job_table().find(orphan.job) != nullptr;
-        if (!own && first >= replicated_.epoch().number) return;
-        commands_.enqueue(orphan.machine, view.last_heartbeat.incarnation,
-                          {CommandKind::acknowledge_exit, orphan.job, orphan.task, orphan.attempt, 0});
-    } else if (before != orphans_.end() && heard) {
-        spdlog::warn("event=orphan_task_stopped job={} task={} attempt={} machine={}", orphan.job,
-                     orphan.task, orphan.attempt, orphan.machine);
-        commands_.enqueue(orphan.machine, view.last_heartbeat.incarnation,
-                          {CommandKind::stop, orphan.job, orphan.task, orphan.attempt, 0});
+        // Nobody else has sent starts of this shard's tasks under this epoch, and those of earlier ones are
+        // void. Those of a job that is over may be under way from its shard owner under this epoch: its exits
+        // are acknowledged only when they were first seen before.
+        const bool job_is_over = replicated_.job_table().find(orphan.job) == nullptr;
+        if (job_is_over && first_seen_epoch >= epoch) return;
+        enqueue(CommandKind::acknowledge_exit, orphan, view.last_heartbeat.incarnation);
+        return;
     }
+    // An unresponsive machine's last heartbeat may list what its lease has ended since.
+    if (known == orphans_.end() || age == HeartbeatAge::stale) return;
+    spdlog::warn("event=orphan_task_stopped job={} task={} attempt={} machine={}", orphan.job, orphan.task,
+                 orphan.attempt, orphan.machine);
+    enqueue(CommandKind::stop, orphan, view.last_heartbeat.incarnation);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/command_dispatcher.hpp
+++ b/src/scheduling/command_dispatcher.hpp
@@ -1,9 +1,11 @@
-// Orders to workers for the shard shard owner's attempts: starts once they are recorded, repeats, stops, and
-// the reaping of attempts that have ended.
+/// Commands to workers for the attempts of this controller's shard: starts once they are recorded, repeats,
+/// stops, and the acknowledgement of exits once they are recorded. Owns what was last sent for which attempt.
 #pragma once
 
+#include <compare>
 #include <map>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "cluster/leadership.hpp"
@@ -14,67 +16,84 @@
 
 namespace hatchwind::controller {
 
-constexpr io::Micros kResendStop{1'000'000};
+/// How long a plain stop is given before it is sent again.
+constexpr io::Micros kStopResendInterval{1'000'000};
+/// Grace period of a stop that leaves no time to write a checkpoint, in seconds.
+constexpr double kNoGrace = 0;
 
+/// Reads replica and workers' status; changes the command queues. Commands of one machine leave in the order
+/// in which they are dispatched.
 class CommandDispatcher {
   public:
     CommandDispatcher(const ReplicatedState& replicated, const Leadership& leadership,
                       const WorkerStatus& workers, CommandSender& commands)
         : replicated_(replicated), leadership_(leadership), workers_(workers), commands_(commands) {}
 
-    // The start is recorded, so it may be sent.
-    void start_recorded(const TaskAttempt& started);
-    // The worker does not list it yet. A repeated start is harmless until the acknowledgement of its exit,
-    // and acknowledgements follow the committed end only.
-    void repeat_start(const OpenAttempt& open, io::Micros now);
-    // Not sent again before `interval` has passed.
-    void stop(const OpenAttempt& open, double grace_s, io::Micros interval);
-    // Ends an attempt that the worker does not list, and a start of it that is under way.
-    void stop_unlisted(const OpenAttempt& open, io::Micros now);
-    // To make free capacity for another task.
+    /// Sends the first start of an attempt. Its record must be committed.
+    void dispatch_start(const TaskAttempt& started);
+    /// For an attempt that its worker does not list yet. A repeated start is harmless until its exit is
+    /// acknowledged, and acknowledgements follow the committed end only.
+    void repeat_start(const OpenAttempt& open, io::Micros monotonic_now);
+    /// Does nothing before `resend_interval` has passed since the last stop of the attempt.
+    void stop(const OpenAttempt& open, double grace_s, io::Micros resend_interval);
+    /// Ends an attempt that its worker does not list, and a start of it that is under way.
+    void stop_unlisted(const OpenAttempt& open, io::Micros monotonic_now);
+    /// Stops a task to make capacity free for another one.
     void preempt(const core::Stop& stop);
+    /// True while a copy of the attempt's start may still arrive.
     bool start_pending(const OpenAttempt& open) const;
 
-    // Its end is recorded: it is acknowledged when nothing of it can arrive any more.
-    void end_recorded(TaskAttempt closed) { exits_to_acknowledge_.push_back(std::move(closed)); }
+    /// The end of the attempt is committed: its exit is acknowledged when no copy of its start can arrive any
+    /// more.
+    void queue_exit_acknowledgement(TaskAttempt closed) {
+        exits_to_acknowledge_.push_back(std::move(closed));
+    }
+    /// Sends the acknowledgements that are due.
     void acknowledge_exits();
-    // Now and then: ends what is listed without an open record. True when it was time for that.
+    /// Every two seconds: ends what workers list without an open record. True when it was time for that.
     bool reconcile_orphans();
-    void start_epoch() { sent_.clear(); }
+    /// Commands of earlier epochs are void.
+    void start_epoch() { sent_commands_.clear(); }
 
   private:
-    // What was last sent for a task's attempt; steady.
+    /// What was last sent for a task's attempt; monotonic clock.
     struct SentCommands {
         std::uint64_t attempt = 0;
         io::Micros last_start{0};
         io::Micros last_stop{0};
     };
-    struct ReportedAttempt {
+    /// An attempt as a worker lists it.
+    struct ListedAttempt {
         std::string machine;
         std::string job;
         std::uint32_t task = 0;
         std::uint64_t attempt = 0;
-        friend auto operator<=>(const ReportedAttempt&, const ReportedAttempt&) = default;
+        friend auto operator<=>(const ListedAttempt&, const ListedAttempt&) = default;
     };
-    using OrphanTasks =
-        std::map<ReportedAttempt, std::uint64_t>;  // to the epoch in which each was first seen
+    /// Attempts that are listed without an open record, to the number of the epoch in which each was first
+    /// seen.
+    using Orphans = std::map<ListedAttempt, std::uint64_t>;
+    enum class HeartbeatAge : std::uint8_t { fresh, stale };
 
-    SentCommands& sent(const OpenAttempt& open);
-    void order(core::CommandKind kind, const OpenAttempt& open, double grace_s = 0);
+    SentCommands& sent_commands(const OpenAttempt& open);
+    void enqueue(core::CommandKind kind, const OpenAttempt& open, double grace_s = kNoGrace);
+    void enqueue(core::CommandKind kind, const TaskAttempt& recorded);
+    void enqueue(core::CommandKind kind, const ListedAttempt& listed, std::uint64_t incarnation);
     bool is_orphan(const std::string& machine, const core::TaskStatus& listed) const;
-    void stop_orphans(const std::string& machine, const core::MachineView& view, io::Micros now,
-                      OrphanTasks& seen);
-    void stop_orphan(const ReportedAttempt& orphan, const core::MachineView& view, core::TaskState state,
-                     bool heard, OrphanTasks& seen);
+    void reconcile_machine(const std::string& machine, const core::MachineView& view,
+                           io::Micros monotonic_now, Orphans& found);
+    /// Acknowledges its exit, or stops it.
+    void reconcile_orphan(const ListedAttempt& orphan, const core::MachineView& view, core::TaskState state,
+                          HeartbeatAge age, Orphans& found);
 
     const ReplicatedState& replicated_;
     const Leadership& leadership_;
     const WorkerStatus& workers_;
     CommandSender& commands_;
-    std::map<core::TaskRef, SentCommands> sent_;
+    std::map<core::TaskRef, SentCommands> sent_commands_;
     std::vector<TaskAttempt> exits_to_acknowledge_;
-    OrphanTasks orphans_;
-    io::Micros last_orphan_check_{0};
+    Orphans orphans_;                  // as the last check found them
+    io::Micros last_orphan_check_{0};  // monotonic clock
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/failure_backoff.cpp
+++ b/src/scheduling/failure_backoff.cpp
@@ -15,7 +15,9 @@
 constexpr Micros kNoRoomBackoff{1'000'000};
 constexpr Micros kBusyBackoff{5'000'000};
 constexpr Micros kUnknownBackoff{3'000'000};
-constexpr int kErrorsCounted = 6;
+constexpr int kMaxErrorsCounted = 6;
+// A failure that is seen with as many different machines is the job's, and the other way round.
+constexpr std::size_t kDistinctFailures = 2;
 }  // namespace
 
 void FailureBackoff::record_exit(const OpenAttempt& open, ExitCause cause) {
@@ -27,7 +29,7 @@
             jobs_.erase(open.job());
             break;
         case ExitCause::no_room:
-            // Another owner was faster; its record arrives by the watch.
+            // Another shard owner was faster; its record arrives by the watch.
             machine.until = std::max(machine.until, now + kNoRoomBackoff);
             break;
         case ExitCause::busy:
@@ -46,32 +48,34 @@
     }
 }
 
-// A faulty machine fails many jobs' tasks, a job with a mistake fails on many machines: both are tried ever
-// more seldom, and neither stops the other for long.
-void FailureBackoff::record_error(const OpenAttempt& open, BackoffState& machine, Micros now) {
+// A faulty machine fails many jobs' tasks, a faulty job fails on many machines: both are tried at growing
+// intervals, and neither stops the other for long.
+void FailureBackoff::record_error(const OpenAttempt& open, BackoffState& machine, Micros monotonic_now) {
     BackoffState& job = jobs_[open.job()];
-    job.errors = std::min(job.errors + 1, kErrorsCounted);
-    job.others.insert(open.attempt.machine);
-    if (job.others.size() >= 2) job.until = now + core::job_backoff(job.errors);
-    machine.others.insert(open.job());
-    machine.errors = std::min(machine.errors + 1, kErrorsCounted);
-    // Errors of jobs that fail elsewhere too say little about this machine.
-    const bool machine_suspect = machine.others.size() >= 2 || job.others.size() < 2;
-    if (machine_suspect) machine.until = now + core::machine_backoff(machine.errors);
+    job.errors = std::min(job.errors + 1, kMaxErrorsCounted);
+    job.failed_with.insert(open.attempt.machine);
+    if (job.failed_with.size() >= kDistinctFailures)
+        job.until = monotonic_now + core::job_backoff(job.errors);
+    machine.failed_with.insert(open.job());
+    machine.errors = std::min(machine.errors + 1, kMaxErrorsCounted);
+    // Errors of a job that fails elsewhere too say little about this machine.
+    const bool machine_suspect =
+        machine.failed_with.size() >= kDistinctFailures || job.failed_with.size() < kDistinctFailures;
+    if (machine_suspect) machine.until = monotonic_now + core::machine_backoff(machine.errors);
     spdlog::info("event=task_error job={} machine={} job_errors={} machine_errors={}", open.job(),
                  open.attempt.machine, job.errors, machine.errors);
 }
 
 std::map<std::string, Micros> FailureBackoff::job_backoff() const {
     std::map<std::string, Micros> backoff;
-    for (const auto& [job, record] : jobs_) backoff[job] = record.until;
+    for (const auto& [job, state] : jobs_) backoff[job] = state.until;
     return backoff;
 }
 
-std::map<std::string, Micros> FailureBackoff::machine_backoff(Micros now) const {
+std::map<std::string, Micros> FailureBackoff::machine_backoff(Micros monotonic_now) const {
     std::map<std::string, Micros> backoff;
-    for (const auto& [machine, record] : machines_) {
-        if (record.until > now) backoff[machine] = record.until;
+    for (const auto& [machine, state] : machines_) {
+        if (state.until > monotonic_now) backoff[machine] = state.until;
     }
     return backoff;
 }
--- a/src/scheduling/group_commit.cpp
+++ b/src/scheduling/group_commit.cpp
@@ -15,136 +15,155 @@
 using io::Task;
 
 namespace {
-constexpr std::size_t kTransactionBytes = std::size_t{56} * 1024;  // of the JSON form
+constexpr std::size_t kMaxTransactionBytes = std::size_t{56} * 1024;  // of the JSON form
 constexpr std::size_t kConditionsPerWrite = 4;
-constexpr Micros kCommitTime{3'000'000};
-constexpr Micros kUnknownPause{100'000};
-constexpr Micros kRefusedPause{150'000};
-constexpr Micros kConflictTime{2'000'000};
-constexpr Micros kEraseTime{1'000'000};
-constexpr std::size_t kErasedTogether = 3;
+constexpr Micros kCommitTimeout{3'000'000};
+constexpr Micros kConflictTimeout{2'000'000};
+constexpr Micros kEraseTimeout{1'000'000};
+constexpr Micros kPauseAfterUnknown{100'000};
+constexpr Micros kPauseAfterUnavailable{150'000};
+constexpr std::size_t kMaxPagesErased = 3;  // in one transaction
 constexpr Micros::rep kMicrosPerMilli = 1000;
-constexpr Micros kRefusedGroup{10'000'000};  // how long units go one by one after a group was refused
-constexpr Micros kRefusedUnit{2'000'000};    // how long a unit waits that was refused by itself
+constexpr Micros kSingleUnitsAfterRefusal{10'000'000};
+constexpr Micros kUnitPauseAfterRefusal{2'000'000};
+
+// A unit is known by the first key that it writes.
+const std::string& first_key(const WriteUnit& unit) { return unit.replicated_writes.front().key; }
 }  // namespace
 
-std::size_t GroupCommit::fitting(std::span<const WriteUnit> units) const {
-    const std::size_t most_writes = settings_.txn_ops;
-    const std::size_t most_conditions = kConditionsPerWrite * most_writes;
+std::size_t GroupCommit::count_for_one_transaction(std::span<const WriteUnit> units) const {
+    const std::size_t max_writes = context_.settings.txn_ops;
+    const std::size_t max_conditions = kConditionsPerWrite * max_writes;
+    const bool single_units = steady_now() < single_units_until_;
     std::size_t writes = 0;
     std::size_t conditions = 1;  // the epoch's
     std::size_t bytes = 0;
     std::size_t count = 0;
     for (const WriteUnit& unit : units) {
-        writes += unit.writes();
+        writes += unit.write_count();
         conditions += unit.conditions.size();
-        bytes += unit.bytes;
+        bytes += unit.estimated_bytes;
         const bool too_much =
-            writes > most_writes || conditions > most_conditions || bytes > kTransactionBytes;
-        if (count != 0 && (too_much || steady_now() < single_units_until_)) break;
+            writes > max_writes || conditions > max_conditions || bytes > kMaxTransactionBytes;
+        if (count != 0 && (too_much || single_units)) break;
         ++count;
     }
     return count;
 }
 
-wire::Transaction GroupCommit::transaction(std::span<const WriteUnit> units) const {
+wire::Transaction GroupCommit::transaction_of(std::span<const WriteUnit> units) const {
     wire::Transaction transaction;
-    transaction.conditions.push_back({keys::kEpoch, replicated_.epoch().mod_revision});
+    transaction.conditions.push_back({keys::kEpoch, context_.replicated.epoch().mod_revision});
     for (const WriteUnit& unit : units) {
         transaction.conditions.insert(transaction.conditions.end(), unit.conditions.begin(),
                                       unit.conditions.end());
-        for (const auto& write : unit.extra) transaction.writes.push_back({write.key, write.value, 0});
-        for (const auto& write : unit.effects) transaction.writes.push_back({write.key, write.value, 0});
+        for (const auto& write : unit.other_writes) transaction.writes.push_back({write.key, write.value, 0});
+        for (const auto& write : unit.replicated_writes)
+            transaction.writes.push_back({write.key, write.value, 0});
     }
     return transaction;
 }
 
 Task<bool> GroupCommit::write(std::vector<WriteUnit> units) {
-    std::erase_if(refused_until_, [now = steady_now()](const auto& unit) { return unit.second <= now; });
-    std::erase_if(units,
-                  [&](const WriteUnit& unit) { return refused_until_.contains(unit.effects.front().key); });
-    std::span<WriteUnit> left{units};
-    while (!left.empty()) {
-        const std::size_t count = fitting(left);
-        const std::span<WriteUnit> batch = left.first(count);
-        Group group{transaction(batch), {}};
+    std::erase_if(refused_until_,
+                  [now = steady_now()](const auto& refused) { return refused.second <= now; });
+    std::erase_if(units, [&](const WriteUnit& unit) { return refused_until_.contains(first_key(unit)); });
+    std::span<WriteUnit> remaining{units};
+    while (!remaining.empty()) {
+        const std::size_t count = count_for_one_transaction(remaining);
+        const std::span<WriteUnit> batch = remaining.first(count);
+        Group group{transaction_of(batch), {}};
         std::move(batch.begin(), batch.end(), std::back_inserter(group.units));
-        auto task = send(std::move(group));
-        const bool committed = co_await std::move(task);
+        auto sending = send(std::move(group));
+        const bool committed = co_await std::move(sending);
         if (!committed) co_return false;
-        left = left.subspan(count);
+        remaining = remaining.subspan(count);
     }
     co_return true;
 }
 
-void GroupCommit::record_refused(const Group& group) {
-    const Micros now = steady_now();
-    if (group.units.size() > 1) {
-        single_units_until_ = now + kRefusedGroup;
-    } else {
-        refused_until_[group.units.front().effects.front().key] = now + kRefusedUnit;
-    }
-}
-
 bool GroupCommit::in_doubt() {
-    // No copy of a transaction of an earlier epoch can be carried out any more.
-    if (in_doubt_ && in_doubt_->epoch() != replicated_.epoch().mod_revision) in_doubt_.reset();
+    // No copy of a transaction of an earlier epoch can be committed any more.
+    if (in_doubt_ && in_doubt_->epoch() != context_.replicated.epoch().mod_revision) in_doubt_.reset();
     return in_doubt_.has_value();
 }
 
-Task<void> GroupCommit::repeat() {
-    Group again = *in_doubt_;
-    auto task = send(std::move(again));
-    co_await std::move(task);
+Task<void> GroupCommit::retry_in_doubt() {
+    Group copy = *in_doubt_;
+    auto sending = send(std::move(copy));
+    co_await std::move(sending);
 }
 
 double GroupCommit::Group::pressing_writes() const {
     double writes = 0;
     for (const WriteUnit& unit : units) {
-        if (unit.rank <= WriteRank::overdue_completion) writes += static_cast<double>(unit.writes());
+        if (unit.rank <= WriteRank::overdue_completion) writes += static_cast<double>(unit.write_count());
     }
     return writes;
 }
 
 Task<bool> GroupCommit::send(Group group) {
-    const bool sent_before = in_doubt_.has_value();
+    const Sending sending = in_doubt_ ? Sending::retry : Sending::first;
     const CommitPriority priority{false, group.pressing_writes()};
-    auto task = store_.commit(group.transaction, steady_now() + kCommitTime, priority);
-    const CommitResult result = co_await std::move(task);
-    if (result.outcome == CommitOutcome::committed) {
-        in_doubt_.reset();
-        committed(group, result.revision);
-        co_return true;
-    }
-    if (result.outcome == CommitOutcome::refused) {
-        in_doubt_.reset();
-        record_refused(group);
-        co_return false;
-    }
-    if (result.outcome == CommitOutcome::conflict) {
-        in_doubt_.reset();
-        auto wait_for_revision =
-            replica_.wait_for_conflict(group.transaction.conditions, result, steady_now() + kConflictTime);
-        const bool reached = co_await std::move(wait_for_revision);
-        if (reached && sent_before) acknowledge_recorded_exits(group);
-        co_return false;
+    auto commit = context_.store.commit(group.transaction, steady_now() + kCommitTimeout, priority);
+    CommitResult result = co_await std::move(commit);
+    switch (result.outcome) {
+        case CommitOutcome::committed:
+            in_doubt_.reset();
+            handle_committed(group, result.revision);
+            co_return true;
+        case CommitOutcome::refused:
+            in_doubt_.reset();
+            handle_refused(group);
+            co_return false;
+        case CommitOutcome::conflict: {
+            in_doubt_.reset();
+            auto handling = handle_conflict(group, std::move(result), sending);
+            co_await std::move(handling);
+            co_return false;
+        }
+        case CommitOutcome::unavailable:
+        case CommitOutcome::unknown:
+            break;
     }
-    // Without an answer it may have been carried out, or may be later: the same again until there is an
-    // answer. Its conditions make all but one copy fail. A refusal of the repeat says nothing about the first
-    // copy (UserAnswers.ALateGroupCommitOfTheSameOwnerRecordsNothing).
-    if (result.outcome == CommitOutcome::unknown ||
-        (sent_before && result.outcome == CommitOutcome::unavailable)) {
-        if (group.epoch() == replicated_.epoch().mod_revision) in_doubt_ = std::move(group);
+    auto handling = handle_no_commit(std::move(group), result.outcome, sending);
+    co_await std::move(handling);
+    co_return false;
+}
+
+void GroupCommit::handle_refused(const Group& group) {
+    const Micros now = steady_now();
+    if (group.units.size() > 1) {
+        single_units_until_ = now + kSingleUnitsAfterRefusal;
     } else {
+        refused_until_[first_key(group.units.front())] = now + kUnitPauseAfterRefusal;
+    }
+}
+
+Task<void> GroupCommit::handle_conflict(const Group& group, CommitResult result, Sending sending) {
+    auto waiting = context_.replica.wait_for_conflict(group.transaction.conditions, std::move(result),
+                                                      steady_now() + kConflictTimeout);
+    const bool caught_up = co_await std::move(waiting);
+    if (caught_up && sending == Sending::retry) acknowledge_recorded_exits(group);
+}
+
+// Without an answer it may have been committed, or may be later: the same again until there is an answer. Its
+// conditions make all but one copy fail. That a retry was not executed says nothing about the first copy
+// (UserAnswers.ALateGroupCommitOfTheSameOwnerRecordsNothing).
+Task<void> GroupCommit::handle_no_commit(Group group, CommitOutcome outcome, Sending sending) {
+    const bool may_be_committed = outcome == CommitOutcome::unknown || sending == Sending::retry;
+    if (!may_be_committed) {
         in_doubt_.reset();
+    } else if (group.epoch() == context_.replicated.epoch().mod_revision) {
+        in_doubt_ = std::move(group);
     }
-    co_await loop_.sleep(result.outcome == CommitOutcome::unknown ? kUnknownPause : kRefusedPause);
-    co_return false;
+    co_await context_.loop.sleep(outcome == CommitOutcome::unknown ? kPauseAfterUnknown
+                                                                   : kPauseAfterUnavailable);
 }
 
-// Before the record leaves the replica.
+// To be called before the record leaves the replica.
 void GroupCommit::log_end(const std::string& job) const {
-    const core::JobEntry* entry = replicated_.job_table().find(job);
+    const core::JobEntry* entry = context_.replicated.job_table().find(job);
     if (entry == nullptr) return;
     const Micros took = io::wall_now() - entry->job.accepted;
     spdlog::debug("event=job_ended job={} class={} tasks={} cancelled={} took_ms={}", job,
@@ -152,60 +171,67 @@
                   took.count() / kMicrosPerMilli);
 }
 
-void GroupCommit::committed(Group& group, core::Revision revision) {
-    const core::Revision epoch = group.epoch();
-    for (WriteUnit& unit : group.units) committed(unit, revision, epoch);
+void GroupCommit::handle_committed(Group& group, core::Revision revision) {
+    for (WriteUnit& unit : group.units) {
+        apply_committed(unit, revision);
+        dispatch_starts(unit, group.epoch());
+    }
+}
+
+void GroupCommit::apply_committed(WriteUnit& unit, core::Revision revision) {
+    for (const JobEnd& end : unit.job_ends) log_end(end.job);
+    context_.replica.apply_own_commit(unit.replicated_writes, revision);
+    for (const JobEnd& end : unit.job_ends) context_.replica.final_states().insert(end.job, end.state);
+    // Jobs that depend on these are released without waiting for the watch.
+    if (!unit.job_ends.empty()) context_.signals.replica_advanced.notify_all();
+    context_.page_writer.record_committed(unit.chunks);
+    for (TaskAttempt& closed : unit.closed) context_.dispatcher.queue_exit_acknowledgement(std::move(closed));
 }
 
-void GroupCommit::committed(WriteUnit& unit, core::Revision revision, core::Revision epoch) {
-    for (const auto& [job, state] : unit.ends) log_end(job);
-    replica_.apply_own_commit(unit.effects, revision);
-    for (const auto& [job, state] : unit.ends) replica_.final_states().insert(job, state);
-    // Jobs that need these are released without waiting for the watch.
-    if (!unit.ends.empty()) signals_.replica_advanced.notify_all();
-    pages_.written(unit.chunks);
-    for (auto& closed : unit.closed) dispatch_.end_recorded(std::move(closed));
-    // Recorded, so it may start; if this node is the shard owner no more, its order is void.
-    if (!leadership_.holds_leadership() || epoch != replicated_.epoch().mod_revision) return;
-    for (const auto& started : unit.started) {
-        // The answer may come long after the record, and a confirmed cancel in between
+// What is recorded may start; if this controller is the shard owner no more, its command is void.
+void GroupCommit::dispatch_starts(const WriteUnit& unit, core::Revision epoch) {
+    const bool same_epoch = epoch == context_.replicated.epoch().mod_revision;
+    if (!context_.leadership.holds_leadership() || !same_epoch) return;
+    for (const TaskAttempt& started : unit.started) {
+        // The answer may come long after the record, and a confirmed cancellation in between
         // (UserAnswers.ACancelConfirmedBeforeTheStartsRecordIsAnsweredStartsNothing).
-        const core::JobEntry* entry = replicated_.job_table().find(started.job);
-        if (entry != nullptr && !entry->job.cancelled) dispatch_.start_recorded(started);
+        const core::JobEntry* entry = context_.replicated.job_table().find(started.job);
+        if (entry != nullptr && !entry->job.cancelled) context_.dispatcher.dispatch_start(started);
     }
 }
 
 void GroupCommit::acknowledge_recorded_exits(const Group& group) {
     for (const WriteUnit& unit : group.units) {
-        for (const auto& closed : unit.closed) {
-            const core::Attempt* open = replicated_.job_table().open_attempt(closed.job, closed.task);
-            if (open == nullptr || open->number != closed.attempt.number) dispatch_.end_recorded(closed);
+        for (const TaskAttempt& closed : unit.closed) {
+            const core::Attempt* open = context_.replicated.job_table().open_attempt(closed.job, closed.task);
+            if (open == nullptr || open->number != closed.attempt.number)
+                context_.dispatcher.queue_exit_acknowledgement(closed);
         }
     }
 }
 
-bool GroupCommit::unused(const core::AttemptPage& page) const {
-    return std::none_of(page.chunks.begin(), page.chunks.end(), [&](const auto& chunk) {
-        return replicated_.job_table().find(chunk.job) != nullptr;
+bool GroupCommit::is_unused(const core::AttemptPage& page) const {
+    return std::none_of(page.chunks.begin(), page.chunks.end(), [&](const core::ChunkKey& chunk) {
+        return context_.replicated.job_table().find(chunk.job) != nullptr;
     });
 }
 
 Task<void> GroupCommit::erase_unused_pages() {
     wire::Transaction transaction;
-    std::vector<wire::StoreItem> effects;
-    transaction.conditions.push_back({keys::kEpoch, replicated_.epoch().mod_revision});
-    for (const auto& [key, page] : replicated_.job_table().pages()) {
-        if (transaction.writes.size() >= std::min(kErasedTogether, settings_.txn_ops)) break;
-        if (!leadership_.owns_shard(key.team) || !unused(page)) continue;
+    std::vector<wire::StoreItem> erased;
+    transaction.conditions.push_back({keys::kEpoch, context_.replicated.epoch().mod_revision});
+    for (const auto& [key, page] : context_.replicated.job_table().pages()) {
+        if (transaction.writes.size() >= std::min(kMaxPagesErased, context_.settings.txn_ops)) break;
+        if (!context_.leadership.owns_shard(key.team) || !is_unused(page)) continue;
         transaction.conditions.push_back({keys::page(key), page.mod_revision});
         transaction.writes.push_back({keys::page(key), std::nullopt, 0});
-        effects.push_back({keys::page(key), std::nullopt, 0});
+        erased.push_back({keys::page(key), std::nullopt, 0});
     }
-    if (effects.empty()) co_return;
-    auto task = store_.commit(std::move(transaction), steady_now() + kEraseTime);
-    const CommitResult result = co_await std::move(task);
+    if (erased.empty()) co_return;
+    auto commit = context_.store.commit(std::move(transaction), steady_now() + kEraseTimeout);
+    const CommitResult result = co_await std::move(commit);
     if (result.outcome != CommitOutcome::committed) co_return;
-    replica_.apply_own_commit(effects, result.revision);
+    context_.replica.apply_own_commit(erased, result.revision);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/page_assignment.hpp
+++ b/src/scheduling/page_assignment.hpp
@@ -1,4 +1,5 @@
-// Which attempt page holds which chunk.
+/// Decides which attempt page holds which chunk: bin packing, since the store limits writes and each write of
+/// a page counts the same however much it says. Pure but for the page numbers that it fills in.
 #pragma once
 
 #include <map>
@@ -14,6 +15,7 @@
 
 namespace hatchwind::controller {
 
+/// What the assignment reads.
 struct PageAssignmentInput {
     const Settings& settings;
     const core::JobTable& job_table;
@@ -21,11 +23,14 @@
     const Leadership& leadership;
 };
 
-// Gives each staged chunk without a page one, and returns the pages to be written with their staged chunks.
-// `ending`: jobs whose chunks leave their pages. Pages stay below the size that this node can afford to read,
-// whatever their chunks may grow to.
-std::map<core::AttemptPageKey, std::vector<core::ChunkKey>> assign_pages(const PageAssignmentInput& input,
-                                                                         StagedRecords& staged,
-                                                                         const std::set<std::string>& ending);
+/// The staged chunks of each page that has to be written.
+using AssignedChunks = std::map<core::AttemptPageKey, std::vector<core::ChunkKey>>;
+
+/// Gives each staged chunk without a page one, and returns the pages to be written with their staged chunks.
+/// `ending_jobs`: ids of jobs whose chunks leave their pages. Each staged chunk's job must be in the job
+/// table. Pages stay below the size that this controller can afford to read, whatever their chunks may grow
+/// to.
+AssignedChunks assign_pages(const PageAssignmentInput& input, StagedRecords& staged,
+                            const std::set<std::string>& ending_jobs);
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/placement_round.cpp
+++ b/src/scheduling/placement_round.cpp
@@ -12,23 +12,25 @@
 namespace {
 constexpr std::size_t kStartsPerOperation = 8;  // of a transaction
 constexpr std::size_t kMachinesPerStop = 100;
-constexpr Micros kAnnounceAgain{3'000'000};
+// A reservation is announced again once the peers know less than this of how long it lasts.
+constexpr Micros kAnnounceInterval{3'000'000};
 constexpr Micros kStopTime{2'000'000};  // beside the grace period
 }  // namespace
 
-core::PlacementInput PlacementRound::gather_input(std::size_t most_records) const {
+core::PlacementInput PlacementRound::gather_input(std::size_t max_records) const {
     core::PlacementInput input;
-    input.most_records = most_records;
-    // A pass starts what one transaction records; more would hold up what comes after it.
-    input.most_starts = std::max<std::size_t>(input.most_starts, settings_.txn_ops * kStartsPerOperation);
-    input.most_stops =
-        std::max<std::size_t>(input.most_stops, workers_.cluster_view().machines().size() / kMachinesPerStop);
-    input.job_table = &replicated_.job_table();
-    input.cluster_view = &workers_.cluster_view();
-    input.teams = &settings_.teams;
-    input.objectives = &settings_.objectives;
-    for (const auto& [name, team] : settings_.teams) {
-        if (leadership_.owns_shard(name)) input.own_teams.insert(name);
+    input.most_records = max_records;
+    // A pass starts what one transaction records; more would delay what comes after it.
+    input.most_starts =
+        std::max<std::size_t>(input.most_starts, context_.settings.txn_ops * kStartsPerOperation);
+    const std::size_t machines = context_.workers.cluster_view().machines().size();
+    input.most_stops = std::max<std::size_t>(input.most_stops, machines / kMachinesPerStop);
+    input.job_table = &context_.replicated.job_table();
+    input.cluster_view = &context_.workers.cluster_view();
+    input.teams = &context_.settings.teams;
+    input.objectives = &context_.settings.objectives;
+    for (const auto& [name, team] : context_.settings.teams) {
+        if (context_.leadership.owns_shard(name)) input.own_teams.insert(name);
     }
     input.now = io::steady_now();
     input.wall_clock_now = io::wall_now();
@@ -36,70 +38,77 @@
 }
 
 bool PlacementRound::anything_to_start(const core::PlacementInput& input) const {
-    const auto& jobs = replicated_.job_table().jobs();
+    const auto& jobs = context_.replicated.job_table().jobs();
     return std::any_of(jobs.begin(), jobs.end(), [&](const auto& job) {
         const core::JobEntry& entry = job.second;
         return entry.unstarted() > 0 && !entry.job.cancelled && input.own_teams.contains(entry.job.team);
     });
 }
 
-void PlacementRound::add_peer_reservations(core::PlacementInput& input) {
+void PlacementRound::add_reservations(core::PlacementInput& input) {
     input.reservations = reservations_;
-    std::erase_if(stopping_, [&](const auto& stop) { return stop.second <= input.now; });
-    for (const auto& [task, until] : stopping_) input.stopping.insert(task);
-    // Free capacity that another owner has cleared: without this the victim's owner, which hears of the exit
-    // as soon as anyone, puts the task right back and is stopped again, over and over.
-    peer_reservations_.drop_settled(replicated_.job_table(), input.now);
-    for (const auto& [task, reservation] : peer_reservations_.all())
+    std::erase_if(preempting_until_, [&](const auto& task) { return task.second <= input.now; });
+    for (const auto& [task, until] : preempting_until_) input.stopping.insert(task);
+    // Capacity that another shard owner is clearing: without this the victim's shard owner, which learns of
+    // the exit as soon as anyone, puts the task right back and is preempted again, over and over.
+    context_.peer_reservations.drop_settled(context_.replicated.job_table(), input.now);
+    for (const auto& [task, reservation] : context_.peer_reservations.all())
         input.peer_reservations.push_back(reservation);
 }
 
-core::FreeCapacity PlacementRound::free_capacity(Micros now) {
-    auto availability = workers_.availability();
-    for (const auto& [machine, until] : failure_backoff_.machine_backoff(now))
+core::FreeCapacity PlacementRound::free_capacity(Micros monotonic_now) {
+    auto availability = context_.workers.availability();
+    for (const auto& [machine, until] : context_.failure_backoff.machine_backoff(monotonic_now))
         availability.banned_until[machine] = until;
-    return core::FreeCapacity::build(workers_.cluster_view(), replicated_.job_table(), *catalog_,
-                                     availability, &free_capacity_cache_);
+    return core::FreeCapacity::build(context_.workers.cluster_view(), context_.replicated.job_table(),
+                                     *context_.catalog, availability, &context_.free_capacity_cache);
 }
 
-std::size_t PlacementRound::run(StagedRecords& staged, std::size_t most_records) {
-    core::PlacementInput input = gather_input(most_records);
+std::size_t PlacementRound::run(StagedRecords& staged, std::size_t max_records) {
+    core::PlacementInput input = gather_input(max_records);
     if (!anything_to_start(input)) return 0;
-    input.job_backoff = failure_backoff_.job_backoff();
-    const auto pipelines =
-        core::PipelineSchedule::build(replicated_.job_table(), settings_.objectives, input.wall_clock_now);
+    input.job_backoff = context_.failure_backoff.job_backoff();
+    const auto pipelines = core::PipelineSchedule::build(context_.replicated.job_table(),
+                                                         context_.settings.objectives, input.wall_clock_now);
     input.pipelines = &pipelines;
     core::FreeCapacity capacity = free_capacity(input.now);
-    add_peer_reservations(input);
-    auto result = core::place(input, capacity);
-    capacity.recycle(free_capacity_cache_);
-    announce(result.reservations, input.now);
-    reservations_ = std::move(result.reservations);
-    std::erase_if(announced_, [&](const auto& told) { return !reservations_.contains(told.first); });
-    for (const auto& start : result.starts) staged.start(*replicated_.job_table().find(start.job), start);
-    send_stops(result.stops, input.now);
+    add_reservations(input);
+    core::PlacementResult result = core::place(input, capacity);
+    capacity.recycle(context_.free_capacity_cache);
+    apply(result, staged, input.now);
     return result.deferred;
 }
 
-void PlacementRound::announce(const std::map<core::TaskRef, core::Reservation>& reservations, Micros now) {
+void PlacementRound::apply(core::PlacementResult& result, StagedRecords& staged, Micros monotonic_now) {
+    announce(result.reservations, monotonic_now);
+    reservations_ = std::move(result.reservations);
+    std::erase_if(announced_until_, [&](const auto& task) { return !reservations_.contains(task.first); });
+    for (const auto& start : result.starts)
+        staged.start(*context_.replicated.job_table().find(start.job), start);
+    send_stops(result.stops, monotonic_now);
+}
+
+void PlacementRound::announce(const std::map<core::TaskRef, core::Reservation>& reservations,
+                              Micros monotonic_now) {
     for (const auto& [task, reservation] : reservations) {
-        // Told again before it runs out on the others' side.
-        Micros& told_until = announced_[task];
-        if (reservation.until - told_until < kAnnounceAgain) continue;
-        told_until = reservation.until;
+        // Announced again before it runs out on the peers' side.
+        Micros& announced_until = announced_until_[task];
+        if (reservation.until - announced_until < kAnnounceInterval) continue;
+        announced_until = reservation.until;
         const core::Resources& resources = reservation.resources;
-        const auto lasts_us = static_cast<std::uint64_t>((reservation.until - now).count());
-        links_.broadcast(wire::CapacityReservationNotice{reservation.machine, task.job, task.task,
-                                                         resources.cpus, resources.gpus, resources.memory_gb,
-                                                         lasts_us, reservation.waiting});
+        const auto lasts_us = static_cast<std::uint64_t>((reservation.until - monotonic_now).count());
+        context_.links.broadcast(wire::CapacityReservationNotice{
+            reservation.machine, task.job, task.task, resources.cpus, resources.gpus, resources.memory_gb,
+            lasts_us, reservation.waiting});
     }
 }
 
-void PlacementRound::send_stops(const std::vector<core::Stop>& stops, Micros now) {
+void PlacementRound::send_stops(const std::vector<core::Stop>& stops, Micros monotonic_now) {
     for (const auto& stop : stops) {
         spdlog::debug("event=preempt job={} task={} machine={}", stop.job, stop.task, stop.attempt.machine);
-        stopping_[{stop.job, stop.task}] = now + kStopTime + core::from_seconds(stop.grace_s);
-        dispatch_.preempt(stop);
+        preempting_until_[{stop.job, stop.task}] =
+            monotonic_now + kStopTime + core::from_seconds(stop.grace_s);
+        context_.dispatcher.preempt(stop);
     }
 }
 
--- a/src/scheduling/placement_round.hpp
+++ b/src/scheduling/placement_round.hpp
@@ -1,9 +1,11 @@
-// One placement pass of the shard owner: gathers its input, announces reservations to the other nodes, stages
-// starts and sends stops.
+/// One placement pass of a shard: gathers its input, announces capacity reservations to the peers, stages
+/// starts and sends preemptions. Owns the reservations of this controller; the decisions are
+/// `core/placement`'s.
 #pragma once
 
 #include <map>
 #include <optional>
+#include <vector>
 
 #include "cluster/leadership.hpp"
 #include "cluster/peer_links.hpp"
@@ -19,50 +21,45 @@
 
 namespace hatchwind::controller {
 
+/// What placement reads, and what it changes.
+struct PlacementContext {
+    const Settings& settings;
+    const std::optional<core::Catalog>& catalog;
+    const ReplicatedState& replicated;
+    const Leadership& leadership;
+    const WorkerStatus& workers;
+    const FailureBackoff& failure_backoff;
+    core::FreeCapacityCache& free_capacity_cache;
+    PeerReservations& peer_reservations;
+    PeerLinks& links;
+    CommandDispatcher& dispatcher;
+};
+
+/// Starts are staged only: they are sent after their commit. Preemptions are sent at once.
 class PlacementRound {
   public:
-    PlacementRound(const Settings& settings, const std::optional<core::Catalog>& catalog,
-                   const ReplicatedState& replicated, const Leadership& leadership,
-                   const WorkerStatus& workers, core::FreeCapacityCache& free_capacity_cache,
-                   PeerReservations& peer_reservations, PeerLinks& links, CommandDispatcher& dispatch,
-                   const FailureBackoff& failure_backoff)
-        : settings_(settings),
-          catalog_(catalog),
-          replicated_(replicated),
-          leadership_(leadership),
-          workers_(workers),
-          free_capacity_cache_(free_capacity_cache),
-          peer_reservations_(peer_reservations),
-          links_(links),
-          dispatch_(dispatch),
-          failure_backoff_(failure_backoff) {}
+    explicit PlacementRound(const PlacementContext& context) : context_(context) {}
 
-    // `most_records`: store records that the starts may touch. Returns how many jobs were left for another
-    // pass.
-    std::size_t run(StagedRecords& staged, std::size_t most_records);
+    /// Places what waits. The catalog must be known. `max_records`: store records that the starts may touch.
+    /// Returns how many jobs were left for another pass.
+    std::size_t run(StagedRecords& staged, std::size_t max_records);
+    /// Drops the reservations that an earlier epoch made.
     void start_epoch() { reservations_.clear(); }
 
   private:
-    core::PlacementInput gather_input(std::size_t most_records) const;
+    core::PlacementInput gather_input(std::size_t max_records) const;
     bool anything_to_start(const core::PlacementInput& input) const;
-    void add_peer_reservations(core::PlacementInput& input);
-    core::FreeCapacity free_capacity(io::Micros now);
-    void announce(const std::map<core::TaskRef, core::Reservation>& reservations, io::Micros now);
-    void send_stops(const std::vector<core::Stop>& stops, io::Micros now);
+    void add_reservations(core::PlacementInput& input);
+    core::FreeCapacity free_capacity(io::Micros monotonic_now);
+    void apply(core::PlacementResult& result, StagedRecords& staged, io::Micros monotonic_now);
+    void announce(const std::map<core::TaskRef, core::Reservation>& reservations, io::Micros monotonic_now);
+    void send_stops(const std::vector<core::Stop>& stops, io::Micros monotonic_now);
 
-    const Settings& settings_;
-    const std::optional<core::Catalog>& catalog_;
-    const ReplicatedState& replicated_;
-    const Leadership& leadership_;
-    const WorkerStatus& workers_;
-    core::FreeCapacityCache& free_capacity_cache_;
-    PeerReservations& peer_reservations_;
-    PeerLinks& links_;
-    CommandDispatcher& dispatch_;
-    const FailureBackoff& failure_backoff_;
+    const PlacementContext context_;
     std::map<core::TaskRef, core::Reservation> reservations_;
-    std::map<core::TaskRef, io::Micros> announced_;  // until when the others know of a reservation
-    std::map<core::TaskRef, io::Micros> stopping_;   // until when a stop for free capacity may take
+    // Both monotonic clock.
+    std::map<core::TaskRef, io::Micros> announced_until_;   // until when the peers know of a reservation
+    std::map<core::TaskRef, io::Micros> preempting_until_;  // until when a preempted task may take to stop
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/shard_scheduler.hpp
+++ b/src/scheduling/shard_scheduler.hpp
@@ -1,8 +1,9 @@
-// The duty of a team's owner: settles attempts, places tasks, records both ahead of every order. This is the
-// loop; the steps are modules of their own.
+/// What a shard owner does for its teams: reconciles attempts, places tasks, and records both ahead of every
+/// command. This is the loop; it owns the pace and the steps, which are modules of their own.
 #pragma once
 
 #include <optional>
+#include <vector>
 
 #include "cluster/leadership.hpp"
 #include "cluster/peer_links.hpp"
@@ -20,7 +21,7 @@
 
 namespace hatchwind::controller {
 
-/// What the scheduling of a shard reads, and what it changes.
+/// What the scheduling of a shard reads (`const`), and what it changes. All of it outlives the scheduler.
 struct SchedulingContext {
     io::Loop& loop;
     const Settings& settings;
@@ -39,42 +40,51 @@
     ChangeSignals& signals;
 };
 
+/// Acts only while this controller holds its leadership lease, and anew in each epoch.
 class ShardScheduler {
   public:
     explicit ShardScheduler(const SchedulingContext& context);
+    /// Runs for as long as the controller lives.
     io::Task<void> run();
 
   private:
-    // Writes that the store's budget bears now.
+    /// Writes that the store's budget bears now.
     struct WriteBudget {
-        double spare = 0;  // unused so far
-        double bear = 0;   // within half a second
+        double spare = 0;       // unused so far
+        double affordable = 0;  // within half a second
+        /// How many writes a pass may plan up to and including a unit of that rank.
         double limit(WriteRank rank) const;
     };
-    struct PassWrites {
+    struct PlannedWrites {
         std::vector<WriteUnit> units;
-        double planned = 0;
-        double left_out = 0;       // for want of budget
-        std::size_t deferred = 0;  // jobs left for another pass
-        double spare = 0;
+        double count = 0;
+        double left_out = 0;            // writes, for want of budget
+        std::size_t deferred_jobs = 0;  // left for another pass
+        double spare = 0;               // as in the budget
     };
+
     void start_epoch();
+    /// Reconciles, places and commits.
     io::Task<void> pass();
-    io::Task<void> erase_unused_pages();
+    /// False in an outage, and while the replica may lack this controller's own records.
+    bool may_place() const;
+    io::Task<void> retry_in_doubt();
     WriteBudget write_budget();
-    // Places, and picks the units that the budget bears.
-    PassWrites plan_writes(StagedRecords& staged);
+    /// Places, and picks the units that the budget bears.
+    PlannedWrites plan_writes(StagedRecords& staged);
+    static void keep_affordable(PlannedWrites& writes, const WriteBudget& budget);
+    io::Task<void> erase_unused_pages();
 
     const SchedulingContext context_;
-    CommandDispatcher dispatch_;
+    CommandDispatcher dispatcher_;
     FailureBackoff failure_backoff_;
     AttemptReconciler reconciler_;
     PlacementRound placement_;
-    AttemptPageWriter pages_;
+    AttemptPageWriter page_writer_;
     GroupCommit commit_;
-    io::Micros last_pass_{0};  // how long it took
+    io::Micros last_pass_took_{0};
     std::uint64_t epoch_seen_ = 0;
-    io::Micros last_erased_{0};  // steady
+    io::Micros last_erasure_{0};  // monotonic clock
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/staged_records.cpp
+++ b/src/scheduling/staged_records.cpp
@@ -4,21 +4,23 @@
 
 namespace hatchwind::controller {
 
-ChunkRecord& StagedRecords::stage(const core::JobEntry& entry, std::uint32_t chunk) {
-    const auto [staged, fresh] = chunks.try_emplace({entry.job.id, chunk});
-    if (fresh) {
-        const auto known = entry.chunks.find(chunk);
+ChunkRecord& StagedRecords::stage(const core::JobEntry& entry, std::uint32_t chunk_number) {
+    const auto [staged, is_new] = chunks.try_emplace({entry.job.id, chunk_number});
+    if (is_new) {
+        const auto known = entry.chunks.find(chunk_number);
         if (known != entry.chunks.end()) staged->second.chunk = known->second;
     }
     return staged->second;
 }
 
-void StagedRecords::close(const OpenAttempt& open, bool done) {
+void StagedRecords::close(const OpenAttempt& open, TaskOutcome outcome) {
     ChunkRecord& record = stage(open.entry, open.chunk());
     record.closed.push_back({open.job(), open.task, open.attempt});
-    // A task that has to start again waits for this record; one that is done waits for nothing.
-    record.urgent = record.urgent || !done;
-    if (done) record.chunk.done.insert(open.task);
+    if (outcome == TaskOutcome::done) {
+        record.chunk.done.insert(open.task);
+    } else {
+        record.blocks_restart = true;
+    }
     record.chunk.open.erase(open.task);
 }
 
--- a/tests/attempt_pages_test.cpp
+++ b/tests/attempt_pages_test.cpp
@@ -76,8 +76,9 @@
     WriteRank rank_of_completion(int job, std::uint32_t task, Micros now) {
         const core::JobEntry& entry = *state_.replicated.job_table().find(name(job));
         controller::StagedRecords staged;
-        staged.close({entry, task, *state_.replicated.job_table().open_attempt(name(job), task)}, true);
-        return writer_.units(staged, now).front().rank;
+        staged.close({entry, task, *state_.replicated.job_table().open_attempt(name(job), task)},
+                     controller::TaskOutcome::done);
+        return writer_.write_units(staged, now).front().rank;
     }
 
     test::WorkerState state_{settings_of_small_values()};
