--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,5 +1,6 @@
-// Two troubles at once: a leader ends, machines cannot be reached, commands and reports are late, the store
-// is slow. Each test brings one such meeting about; docs/reliability-owners.md says what each of them guards.
+// Two faults at once: a leader crashes, machines are unreachable, commands and heartbeats are late, the store
+// is slow. Each test brings about one such combination; docs/reliability-owners.md says what each of them
+// guards.
 #include <algorithm>
 
 #include "core/failure_detection.hpp"
@@ -14,29 +15,7 @@
 using test::Site;
 using wire::Json;
 
-core::PlacementInput placement_input(const test::Cluster& c) {
-    core::PlacementInput in;
-    in.job_table = &c.job_table;
-    in.cluster_view = &c.cluster_view;
-    in.teams = &c.teams;
-    in.objectives = &c.objectives;
-    for (const auto& [name, t] : c.teams) in.own_teams.insert(name);
-    in.now = c.now;
-    in.wall_clock_now = c.now;
-    return in;
-}
-
-core::TaskStatus listed(const std::string& job, std::uint32_t task, std::uint64_t attempt,
-                        core::TaskState state) {
-    core::TaskStatus t;
-    t.job = job;
-    t.task = task;
-    t.attempt = attempt;
-    t.state = state;
-    return t;
-}
-
-// Records one attempt in the ledger, and lists it as running on the machine.
+// Records one attempt in the job table, and lists it as running on the machine.
 void run_on(test::Cluster& c, core::WorkerHeartbeat& machine, const core::Job& job,
             core::Revision mod_revision) {
     c.job_table.put_job(job, mod_revision);
@@ -45,24 +24,24 @@
     chunk.open[0] = {1, machine.machine, machine.incarnation};
     chunk.last_attempt = 1;
     c.job_table.put_chunk(job.id, 0, chunk);
-    machine.tasks.push_back(listed(job.id, 0, 1, core::TaskState::running));
+    machine.tasks.push_back(test::task_status(job.id, 0, 1, core::TaskState::running));
 }
 
-// A task is told to stop for another. Until its worker says that it is gone it counts against its team's
+// A task is preempted for another. Until its worker reports its exit it counts against its team's
 // limit: it may be saving, its machine may hang, the command may be late.
 TEST(Quota, APreemptedTaskCountsUntilItHasExited) {
     test::Cluster c;
     c.teams["x"] = {"x", 4, 8, 0, 0};
     c.teams["y"] = {"y", 8, 24, 0, 0};
-    auto wide = test::report("n-1", "small", "a");
-    auto narrow = test::report("n-2", "small", "a");
+    auto wide = test::heartbeat("n-1", "small", "a");
+    auto narrow = test::heartbeat("n-2", "small", "a");
     // x is at its limit of 8 CPUs, beyond its guarantee, and fills one machine with a task of 4.
     auto victim = test::job("req-1", "x", 1, 4);
     victim.priority = core::Priority::best_effort;
     run_on(c, wide, victim, 1);
     auto other = test::job("req-2", "x", 1, 4);
     other.priority = core::Priority::production;
-    auto elsewhere = test::report("n-3", "small", "a");
+    auto elsewhere = test::heartbeat("n-3", "small", "a");
     run_on(c, elsewhere, other, 2);
     // One CPU is free on the second machine.
     auto filler = test::job("req-3", "y", 1, 3);
@@ -79,7 +58,7 @@
     c.job_table.put_job(small, 5);
 
     core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(placement_input(c), capacity);
+    const auto out = core::place(test::placement_input(c), capacity);
     ASSERT_EQ(out.stops.size(), 1U);
     EXPECT_EQ(out.stops[0].job, "req-1");
     core::Resources use = c.job_table.team_use("x");
@@ -89,14 +68,14 @@
     EXPECT_LE(use.cpus, 8 + core::kResourceTolerance) << "the stopped task is on its machine still";
 }
 
-// The end of an attempt is recorded, and its worker still lists it: its reap is lost with the owner that
-// ended, or has to wait because a copy of the start is under way. On a fleet with one machine that fits, the
-// task waited for that reap for ever.
+// The end of an attempt is recorded, and its worker still lists it: the acknowledgement of its exit is lost
+// with a shard owner that crashed, or has to wait because a duplicate of the start is under way. On a fleet
+// with one machine that fits, the task waited for that acknowledgement for ever.
 TEST(Placement, AnExitedAttemptThatIsStillListedBlocksNoNewAttempt) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
-    auto machine = test::report("n-1", "small", "a");
-    machine.tasks.push_back(listed("req-1", 0, 1, core::TaskState::exited));
+    auto machine = test::heartbeat("n-1", "small", "a");
+    machine.tasks.push_back(test::task_status("req-1", 0, 1, core::TaskState::exited));
     c.cluster_view.apply(machine, c.now, c.now);
     c.job_table.put_job(test::job("req-1", "x", 1, 2), 1);
     core::Chunk chunk;
@@ -104,7 +83,7 @@
     chunk.last_attempt = 1;
     c.job_table.put_chunk("req-1", 0, chunk);
     core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(placement_input(c), capacity);
+    const auto out = core::place(test::placement_input(c), capacity);
     ASSERT_EQ(out.starts.size(), 1U);
     EXPECT_EQ(out.starts[0].attempt.number, 2U);
 
@@ -113,7 +92,7 @@
     ++machine.heartbeat_sequence;
     c.cluster_view.apply(machine, c.now, c.now);
     core::FreeCapacity again = c.free_capacity();
-    EXPECT_TRUE(core::place(placement_input(c), again).starts.empty());
+    EXPECT_TRUE(core::place(test::placement_input(c), again).starts.empty());
 }
 
 // An overdue job keeps its team's later jobs from what the limit leaves, so that it begins at last. Where the
@@ -121,7 +100,7 @@
 TEST(Placement, AJobThatItsTeamsServicesKeepOutBlocksNoOtherJob) {
     test::Cluster c;
     c.teams["x"] = {"x", 8, 8, 0, 0};
-    auto machine = test::report("n-1", "big", "a");
+    auto machine = test::heartbeat("n-1", "big", "a");
     auto service = test::job("req-1", "x", 1, 6);
     service.kind = core::JobKind::service;
     run_on(c, machine, service, 1);
@@ -132,7 +111,7 @@
     c.job_table.put_job(test::job("req-2", "x", 1, 4), 2);
     c.job_table.put_job(test::job("req-3", "x", 1, 1), 3);
     core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(placement_input(c), capacity);
+    const auto out = core::place(test::placement_input(c), capacity);
     ASSERT_EQ(out.starts.size(), 1U);
     EXPECT_EQ(out.starts[0].job, "req-3");
 }
@@ -187,8 +166,9 @@
     return now == old ? "" : now;
 }
 
-// The replica is read anew, and while the pages are under way the owner records the end of an attempt and has
-// it reaped. The pages still call it open, its worker does not list it any more: it was started again.
+// The replica is reloaded, and while the pages are under way the shard owner records the end of an attempt
+// and acknowledges its exit. The pages still call it open, its worker does not list it any more: it was
+// started again.
 TEST(ReplicaReload, AnAttemptThatEndsDuringItIsNotStartedAgain) {
     Site site{1};
     site.world.run_time = Micros{500'000};
@@ -223,7 +203,7 @@
 }
 
 // A start is held up on its way, unanswered, and the job is cancelled meanwhile. The end may be recorded only
-// when no copy can still take effect.
+// when no duplicate can still take effect.
 TEST(DelayedCommands, AStartThatArrivesAfterTheCancellationRunsNothing) {
     Site site{1};
     site.world.endless = {"req-2"};
@@ -265,8 +245,9 @@
     });
 }
 
-// The same with a leader that ends in between, and a machine that hears nobody: the new owner has sent no
-// start, but the old one's may still arrive, since the worker has not heard of the new fencing token.
+// The same with a leader that ends in between, and a machine that is partitioned: the new shard owner has
+// sent no start, but the previous one's may still arrive, since the worker has not heard of the new fencing
+// token.
 TEST(DelayedCommands, AStartOfThePreviousLeaderKeepsACancelledJobOpenUntilItIsStopped) {
     Site site{2};
     site.world.endless = {"req-2"};
@@ -321,7 +302,7 @@
     });
 }
 
-// Its reports came in, and its lease ran out all the same: it may hear nobody, and what it is given never
+// Its heartbeats came in, and its lease expired all the same: it may hear nobody, and what it is given never
 // starts.
 TEST(OneWayPartition, AWorkerOfANewIncarnationAnswersBeforeItTakesTasksAgain) {
     test::Cluster c;
@@ -330,9 +311,9 @@
     const Micros doubt{26'000'000};
     const auto starts = [&c] {
         core::FreeCapacity capacity = c.free_capacity();
-        return core::place(placement_input(c), capacity).starts.size();
+        return core::place(test::placement_input(c), capacity).starts.size();
     };
-    auto machine = test::report("n-1", "small", "a");
+    auto machine = test::heartbeat("n-1", "small", "a");
     c.cluster_view.apply(machine, c.now, c.now, true, doubt);
     EXPECT_EQ(starts(), 1U);
     ++machine.heartbeat_sequence;
@@ -346,7 +327,7 @@
     EXPECT_EQ(starts(), 1U);
 }
 
-// Reports of a machine arrive, answers and commands do not, and the leader ends. The machine is alive for
+// Heartbeats of a machine arrive, answers and commands do not, and the leader ends. The machine is alive for
 // nobody: its lease runs out on its own side, and its tasks are placed elsewhere then, not before.
 TEST(OneWayPartition, TasksMoveOnceTheLeaseHasExpiredAcrossAFailover) {
     Site site{2};
@@ -382,8 +363,8 @@
     });
 }
 
-// All controllers are away for longer than a lease. When they are back, copies of reports of the sessions
-// before reach every one of them first, and again and again.
+// All controllers are away for longer than a lease. When they are back, stale heartbeats of ended
+// incarnations reach every one of them first, and again and again.
 TEST(StaleHeartbeats, OfEndedIncarnationsAtRestartedControllersStartNoTaskTwice) {
     Site site{3};
     site.world.endless = {"req-1", "req-2"};
@@ -507,7 +488,8 @@
 }
 
 // Machines are up at once and get work while the store is slow to answer, and the leader ends. What it had
-// recorded runs once, and no machine that it had rented is lost or rented a second time for the same work.
+// recorded runs once, and no instance that it had requested is lost or requested a second time for the same
+// work.
 TEST(LeaderFailover, ASlowStoreDuringScaleOutStartsNoTaskTwice) {
     Site site{2};
     site.world.endless = {"req-1", "req-2"};
@@ -530,7 +512,7 @@
         co_await s.loop.sleep(Micros{1'000'000});
         EXPECT_EQ(s.world.running.size(), 4U);
         for (const auto& [task, n] : s.world.started) EXPECT_EQ(n, 1) << task;
-        EXPECT_LE(s.cloud.workers.size(), 6U) << "rented again for work that had machines";
+        EXPECT_LE(s.cloud.workers.size(), 6U) << "scaled out again for work that had machines";
     });
 }
 
--- a/tests/emulator_models_test.cpp
+++ b/tests/emulator_models_test.cpp
@@ -252,7 +252,7 @@
     submit(1, plain_job("req-1"));
     cancel(2, 3, "req-1");
     answer(3.005, RequestKind::poll, "req-1", 200, JobStatus::running,
-           0.01);  // asked before the end was told
+           0.01);  // requested before the end was answered
     EXPECT_TRUE(checker_->violations().empty());
     poll(4, "req-1", JobStatus::running);
     expect_only(Rule::went_back);
@@ -312,7 +312,7 @@
 
 // --- worker ---
 
-// A controller that says what it is told to, and one worker on the same loop.
+// A controller with scripted answers, and one worker on the same loop.
 class WorkerTest : public testing::Test {
   protected:
     struct Watcher : EventSink {
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,5 +1,5 @@
-// The emulator's own promises: repeatable runs, hosts that freeze and fall silent, one-way cuts, and a state
-// service that behaves as PROTOCOL says.
+// What the simulator guarantees: repeatable runs, hosts that freeze and stop answering, one-way partitions,
+// and a state service that behaves as PROTOCOL says.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -58,7 +58,7 @@
     return options;
 }
 
-// A server that answers with what it got, and a client that asks once a tenth of a second.
+// A server that answers with what it got, and a client that sends a request each tenth of a second.
 struct EchoServer {
     explicit EchoServer(Host& host)
         : server(host.loop(), host.address(80), {},
--- a/tests/epoch_test.cpp
+++ b/tests/epoch_test.cpp
@@ -56,20 +56,20 @@
     EXPECT_LT(m.until(), Micros{12'000'000});
     const Micros end = m.until();
     m.record_vote("b", Micros{11'500'000}, kPromise, Micros{11'600'000});
-    EXPECT_EQ(m.until(), end) << "one of two promises extends nothing";
+    EXPECT_EQ(m.until(), end) << "one of two votes extends nothing";
     m.record_vote("c", Micros{11'500'000}, kPromise, Micros{11'600'000});
     EXPECT_GT(m.until(), end);
     EXPECT_LT(m.until(), Micros{12'500'000});
     const Micros longer = m.until();
-    // Too late: by now somebody may have removed this node, and then promised.
+    // Too late: by now somebody may have removed this controller, and then voted.
     m.record_vote("b", Micros{12'600'000}, kPromise, Micros{12'600'000});
     m.record_vote("c", Micros{12'600'000}, kPromise, Micros{12'600'000});
     EXPECT_EQ(m.until(), longer);
 }
 
-// Nodes, a store that they may each lose, messages that come late, repeated or never, crashes and restarts,
-// with the rules that the membership duty follows. No life may hold a node lease once an epoch without it is
-// written, and the fencing token never falls.
+// Controllers, a store that they may each lose, messages that come late, repeated or never, crashes and
+// restarts, with the rules that the membership duty follows. No incarnation may hold a leadership lease once
+// an epoch without it is written, and the fencing token never falls.
 class World {
   public:
     void run(int steps) {
@@ -123,7 +123,7 @@
         Micros at{};
     };
 
-    // A write of a life's own key that may be carried out late, or once more.
+    // A write of an incarnation's own key that may be carried out late, or once more.
     struct KeyPut {
         std::string label;
         std::uint64_t store_lease = 0;
@@ -217,7 +217,7 @@
                              now_ + Micros{*rc::gen::inRange(0, 4'000'000)}};
             const int luck = *rc::gen::inRange(0, 4);
             if (luck <= 1) late_puts_.push_back(put);
-            if (luck == 0) return;  // no answer: it begins again with another grant
+            if (luck == 0) return;  // no answer: it begins again with another store lease
             if (apply(put)) {
                 l.self.store_lease = store_lease;
                 l.leadership_lease->renewed(now_, kLife);
@@ -278,7 +278,7 @@
             const auto* m = epoch_.member(l.self.label);
             const bool was_member = ever_.contains({l.self.label, l.self.store_lease});
             const bool is_member = m != nullptr && *m == l.self;
-            // Alive, once a member and now removed: two nodes could act for the same teams.
+            // Alive, once a member and now removed: two controllers could act for the same teams.
             RC_ASSERT(!was_member || is_member);
             if (is_member) ever_.insert({l.self.label, l.self.store_lease});
         }
@@ -325,11 +325,12 @@
     EXPECT_EQ(plan->next.leader, "b");
     EXPECT_EQ(plan->next.number, 5U);
     EXPECT_EQ(plan->member_conditions, (std::vector<core::MemberCondition>{{"a", 0}, {"b", 6}}));
-    // The same label in a new life: the old one is gone, so it counts as removed, and as a member anew.
+    // The same label in a new incarnation: the old one is gone, so it counts as removed, and as a member
+    // anew.
     in.member_records["a"] = {7, 8};
     EXPECT_EQ(core::plan_epoch(in)->member_conditions.front(), (core::MemberCondition{"a", 8}));
     in.protected_members.insert("a");
-    EXPECT_FALSE(core::plan_epoch(in).has_value()) << "a promise binds";
+    EXPECT_FALSE(core::plan_epoch(in).has_value()) << "a vote binds";
 }
 
 TEST(Membership, AnUnhealthyLeaderHandsOver) {
--- a/tests/job_table_test.cpp
+++ b/tests/job_table_test.cpp
@@ -61,21 +61,21 @@
         for (std::uint32_t part = 0; part < job.dependency_parts; ++part)
             all.push_back("req-" + std::to_string(10 + part));
         job_table.put_dependency_part("req-1", "another", 0, {"req-99"});
-        for (std::size_t i = 0; i < order.size(); ++i) {
+        for (const std::uint32_t arriving : order) {
             const core::JobEntry* entry = job_table.find("req-1");
             const bool known = entry != nullptr && entry->job.dependencies_known();
             RC_ASSERT(!known);
-            if (order[i] == job.dependency_parts) {
+            if (arriving == job.dependency_parts) {
                 job_table.put_job(job, 5);
             } else {
-                job_table.put_dependency_part("req-1", "l", order[i], {all[order[i]]});
+                job_table.put_dependency_part("req-1", "l", arriving, {all[arriving]});
             }
         }
         RC_ASSERT(job_table.find("req-1")->job.dependencies == all);
     });
 }
 
-// The store as a model: each change has its stamp. The ledger gets the changes late, twice and out of
+// The store as a model: each change has its revision. The job table gets the changes late, twice and out of
 // order within a key, and must end where the store is.
 TEST(JobTable, EndsWhereTheStoreIsWhateverOrderChangesArriveIn) {
     holds("reordered and repeated changes", [] {
@@ -91,7 +91,7 @@
         for (int i = 0; i < n; ++i) {
             const auto index = static_cast<std::uint32_t>(*rc::gen::inRange(0, 4));
             core::Chunk c = store[index];
-            c.mod_revision = static_cast<core::Revision>(i + 2);
+            c.mod_revision = static_cast<core::Revision>(i) + 2;
             const std::uint32_t task =
                 index * core::kChunkTasks + static_cast<std::uint32_t>(*rc::gen::inRange(0, 8));
             if (c.open.erase(task) != 0) {
@@ -192,7 +192,7 @@
 
 TEST(ClusterView, NewestIncarnationAndSequenceWinAndReleasedMachinesStayGone) {
     core::ClusterView p;
-    auto r = test::report("n-1", "small", "a");
+    auto r = test::heartbeat("n-1", "small", "a");
     r.heartbeat_sequence = 5;
     EXPECT_TRUE(p.apply(r, core::Micros{1}, core::Micros{1}));
     r.heartbeat_sequence = 4;
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -27,7 +27,7 @@
 }
 
 core::WorkerHeartbeat heartbeat_of_incarnation(std::uint64_t incarnation, std::uint64_t heartbeat_sequence) {
-    core::WorkerHeartbeat report = test::report("n-1", "small", "a");
+    core::WorkerHeartbeat report = test::heartbeat("n-1", "small", "a");
     report.incarnation = incarnation;
     report.heartbeat_sequence = heartbeat_sequence;
     return report;
@@ -96,7 +96,7 @@
     EXPECT_TRUE(replicated.cancellations_after(13).empty());
 }
 
-// What a story of the gap varies.
+// What the runs with an outage after a cancellation vary.
 struct Gap {
     Micros before_cancel{100'000};  // from the refusal of the leader
     Micros before_outage{50'000};   // from the confirmed cancel
@@ -112,7 +112,7 @@
     Site site{3, 0};
     site.world.lease_s = 4;
     site.cancel_s = 7;
-    site.kill(1);  // the relayed node leads and owns
+    site.kill(1);  // the relayed controller leads and owns the shards
     site.kill(2);
     site.world.endless = {"req-1"};
     site.play([gap](Site& s) -> Task<void> {
@@ -158,7 +158,7 @@
     });
 }
 
-// The owner is told, so it need not wait for others to stop its tasks.
+// The shard owner is notified, so it need not wait for others to stop its tasks.
 TEST(OutageAfterCancel, TheShardOwnerStopsTheTasksAtOnce) {
     Gap gap;
     gap.within = Micros{1'500'000};
--- a/tests/peer_protocol_test.cpp
+++ b/tests/peer_protocol_test.cpp
@@ -39,8 +39,8 @@
     return b;
 }
 
-// The first heartbeat of a connection, from a node that alone has heard a fleet of 5,000 machines, all of
-// which have just ended, with as many cancelled jobs.
+// The first heartbeat of a connection, from a controller that alone has heard a fleet of 5,000 machines, all
+// of which have just ended, with as many cancelled jobs.
 TEST(MeshCodec, AHeartbeatOfALargeFleetFitsAFrame) {
     constexpr int kMachines = 5'000;
     constexpr std::size_t kReleased = 8'192;
@@ -92,7 +92,7 @@
 
 TEST(MeshCodec, HeartbeatsComeBackAsTheyWere) {
     wire::WorkerStatusUpdate m;
-    m.heartbeat = test::report("n-000001", "small", "a", true);
+    m.heartbeat = test::heartbeat("n-000001", "small", "a", true);
     m.heartbeat.notice_s = 12.5;
     m.heartbeat.tasks.push_back({"req-1", 4, 2, core::TaskState::exited, core::ExitCause::stopped, true});
     m.heard_us = 123456789;
--- a/tests/pipeline_schedule_test.cpp
+++ b/tests/pipeline_schedule_test.cpp
@@ -1,4 +1,4 @@
-// What waiting jobs ask of the jobs before them, and what the planners make of it.
+// What waiting jobs demand of the jobs before them, and what the planners make of it.
 #include "core/pipeline_schedule.hpp"
 
 #include <algorithm>
@@ -35,32 +35,6 @@
     return job;
 }
 
-core::PlacementInput placement_input(const Cluster& cluster, const PipelineSchedule& pipelines) {
-    core::PlacementInput input;
-    input.job_table = &cluster.job_table;
-    input.cluster_view = &cluster.cluster_view;
-    input.teams = &cluster.teams;
-    input.objectives = &cluster.objectives;
-    input.pipelines = &pipelines;
-    for (const auto& [name, team] : cluster.teams) input.own_teams.insert(name);
-    input.now = cluster.now;
-    input.wall_clock_now = cluster.now;
-    return input;
-}
-
-core::ScaleOutInput scale_out_input(const Cluster& cluster, const PipelineSchedule& pipelines) {
-    core::ScaleOutInput input;
-    input.job_table = &cluster.job_table;
-    input.cluster_view = &cluster.cluster_view;
-    input.catalog = &cluster.types;
-    input.teams = &cluster.teams;
-    input.objectives = &cluster.objectives;
-    input.pipelines = &pipelines;
-    input.now = cluster.now;
-    input.wall_clock_now = cluster.now;
-    return input;
-}
-
 PipelineSchedule schedule_of(const Cluster& cluster) {
     return PipelineSchedule::build(cluster.job_table, cluster.objectives, cluster.now);
 }
@@ -72,13 +46,9 @@
     chunk.mod_revision = mod_revision + 1;
     chunk.open[0] = {1, "n-1", 1};
     cluster.job_table.put_chunk(running.id, 0, chunk);
-    auto report = test::report("n-1", "small", "a");
-    core::TaskStatus task;
-    task.job = running.id;
-    task.attempt = 1;
-    task.state = core::TaskState::running;
-    report.tasks = {task};
-    cluster.cluster_view.apply(report, cluster.now, cluster.now);
+    auto heartbeat = test::heartbeat("n-1", "small", "a");
+    heartbeat.tasks = {test::task_status(running.id, 0, 1)};
+    cluster.cluster_view.apply(heartbeat, cluster.now, cluster.now);
 }
 
 std::vector<std::string> queue_of(const Cluster& cluster, const PipelineSchedule* pipelines) {
@@ -216,7 +186,7 @@
             job_table.put_chunk(id, 0, chunk);
         }
     }
-    // What is over has left the ledger.
+    // What is over has left the job table.
     if (one_in(3)) job_table.erase_job(random_job_id(jobs), 10);
     return job_table;
 }
@@ -401,7 +371,7 @@
     core::PlacementResult place() const {
         const auto schedule = schedule_of(cluster);
         core::FreeCapacity capacity = cluster.free_capacity();
-        return core::place(placement_input(cluster, schedule), capacity);
+        return core::place(test::placement_input(cluster, &schedule), capacity);
     }
 };
 
@@ -484,7 +454,7 @@
         }
         const auto schedule = schedule_of(cluster);
         core::FreeCapacity capacity = cluster.free_capacity();
-        const auto result = core::place(placement_input(cluster, schedule), capacity);
+        const auto result = core::place(test::placement_input(cluster, &schedule), capacity);
         // Guarantees count what the pass itself starts, and what it clears capacity for.
         std::map<std::string, core::Resources> use;
         for (const auto& [name, team] : cluster.teams) use[name] = cluster.job_table.team_use(name);
@@ -516,7 +486,7 @@
     holds("the same pass with and without", [] {
         Cluster with = test::draw_cluster();
         Cluster without = with;
-        // They need what is over, so they ask for nothing either.
+        // They depend on what is over, so they demand nothing either.
         for (int i = 0; i < 3; ++i) {
             auto job = waiting_job("req-w" + std::to_string(i), Priority::production, {"req-gone"});
             job.tasks = 50;
@@ -526,9 +496,9 @@
         core::FreeCapacity capacity_with = with.free_capacity();
         core::FreeCapacity capacity_without = without.free_capacity();
         const auto schedule = schedule_of(with);
-        const auto result = core::place(placement_input(with, schedule), capacity_with);
+        const auto result = core::place(test::placement_input(with, &schedule), capacity_with);
         const PipelineSchedule none;
-        const auto expected = core::place(placement_input(without, none), capacity_without);
+        const auto expected = core::place(test::placement_input(without, &none), capacity_without);
         RC_ASSERT(result.starts.size() == expected.starts.size());
         for (std::size_t i = 0; i < result.starts.size(); ++i) {
             RC_ASSERT(result.starts[i].job == expected.starts[i].job);
@@ -536,8 +506,8 @@
         }
         RC_ASSERT(result.stops.size() == expected.stops.size());
         RC_ASSERT(result.reservations.size() == expected.reservations.size());
-        RC_ASSERT(core::plan_scale_out({}, scale_out_input(with, schedule), with.free_capacity()) ==
-                  core::plan_scale_out({}, scale_out_input(without, none), without.free_capacity()));
+        RC_ASSERT(core::plan_scale_out({}, test::scale_out_input(with, &schedule), with.free_capacity()) ==
+                  core::plan_scale_out({}, test::scale_out_input(without, &none), without.free_capacity()));
     });
 }
 
@@ -556,23 +526,23 @@
     cluster.job_table.put_job(queued, 4);
     const PipelineSchedule none;
     core::FreeCapacity capacity = cluster.free_capacity();
-    EXPECT_EQ(core::place(placement_input(cluster, none), capacity).stops.size(), 1U)
+    EXPECT_EQ(core::place(test::placement_input(cluster, &none), capacity).stops.size(), 1U)
         << "the queued job has the whole guarantee";
 }
 
-// ---- Renting.
+// ---- Scaling out.
 
 TEST(PipelineScaleOut, AnInheritedDueTimeLeavesLessSlack) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 1000, 1000, 0, 0};
-    cluster.cluster_view.apply(test::report("n-1", "small", "a"), cluster.now, cluster.now);
+    cluster.cluster_view.apply(test::heartbeat("n-1", "small", "a"), cluster.now, cluster.now);
     auto first = ordinary_job("req-1", Priority::best_effort, 100, 1);
     first.accepted = cluster.now;
     cluster.job_table.put_job(first, 1);
     const auto rented = [&] {
         const auto schedule = schedule_of(cluster);
         return machines(
-            core::plan_scale_out({}, scale_out_input(cluster, schedule), cluster.free_capacity()));
+            core::plan_scale_out({}, test::scale_out_input(cluster, &schedule), cluster.free_capacity()));
     };
     const std::uint32_t alone = rented();
     auto last = waiting_job("req-2", Priority::best_effort, {"req-1"});
@@ -596,8 +566,8 @@
     const auto rented = [&](double ahead_s) {
         core::ScaleOutSettings settings;
         settings.release_ahead_s = ahead_s;
-        return machines(
-            core::plan_scale_out(settings, scale_out_input(cluster, schedule), cluster.free_capacity()));
+        return machines(core::plan_scale_out(settings, test::scale_out_input(cluster, &schedule),
+                                             cluster.free_capacity()));
     };
     EXPECT_EQ(rented(0), 0U);
     EXPECT_EQ(rented(10), 0U) << "not released that soon";
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -38,7 +38,7 @@
     Json answer = co_await std::move(task);
     co_return answer;
 }
-// What each live node answers to a question about the job, asked until it is a 200.
+// What each live controller answers to a poll of the job, repeated until it is a 200.
 Task<std::set<std::string>> statuses(Site& s, std::string id) {
     std::set<std::string> told;
     for (std::size_t node = 0; node < s.labels().size(); ++node) {
@@ -147,7 +147,8 @@
     });
 }
 
-// The jobs of a pipeline are of three teams, with an owner each; the deadline counts from the submission.
+// The jobs of a pipeline are of three teams, with a shard owner each; the deadline counts from the
+// submission.
 TEST(Pipelines, AJobWaitsQueuedAndRunsOnceAllItNeedsIsDone) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
@@ -201,8 +202,8 @@
     });
 }
 
-// Several hundred jobs in one chain; its first is cancelled. Every node tells it of all of them at once, and
-// no node anything older later, while the records follow in many transactions.
+// Several hundred jobs in one chain; its first is cancelled. Every controller answers so for all of them at
+// once, and none answers anything older later, while the records follow in many transactions.
 TEST(Pipelines, ACancelReachesTheEndOfALongChainAtOnce) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
@@ -281,7 +282,7 @@
             return count;
         };
         EXPECT_GE(parts(), 2U);
-        // A node that reads the store anew knows the list as well.
+        // A controller that reloads the store knows the list as well.
         s.kill(0);
         co_await s.loop.sleep(Micros{300'000});
         s.start(0);
@@ -330,7 +331,7 @@
     });
 }
 
-// The owner of the waiting job's team ends when the last job that it needs is done; twice in a row.
+// The shard owner of the waiting job's team crashes when the last job that it needs is done; twice in a row.
 TEST(Pipelines, TheNextShardOwnerReleasesWhatTheLastOneLeftWaiting) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
@@ -340,7 +341,7 @@
         co_await std::move(second);
         auto third = submit(s, dependent("req-3", "z", {"req-2"}));
         co_await std::move(third);
-        // No release is carried out before the owner of its team is gone.
+        // No release is carried out before the shard owner of its team is gone.
         std::set<std::string> held_back{"req-2", "req-3"};
         s.state.treat = [&held_back](const Json& t) {
             for (const auto& id : held_back) {
@@ -377,8 +378,9 @@
     });
 }
 
-// Across teams and owners, with the cascade held back, its author ending and submissions that come during and
-// after the cancel: from its confirmation on every node calls every dependent cancelled, and nothing starts.
+// Across teams and shard owners, with the cascade held back, its author ending and submissions that come
+// during and after the cancel: from its confirmation on every controller calls every dependent cancelled, and
+// nothing starts.
 TEST(Pipelines, ACancelTakesAllDependentsThoughTheCascadeIsHeldAndItsAuthorEnds) {
     Site site{3};
     site.state.watch_latency = Micros{80'000};
@@ -496,8 +498,8 @@
     });
 }
 
-// A release gets no answer and is not carried out; the job is cancelled; the release arrives. And a copy of a
-// release that was repeated meanwhile, and of a cancel's writes.
+// A release gets no answer and is not carried out; the job is cancelled; the release arrives. And a duplicate
+// of a release that was repeated meanwhile, and of a cancel's writes.
 TEST(Pipelines, LateDuplicatesOfAReleaseOrOfACascadeChangeNothing) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
@@ -577,8 +579,8 @@
     });
 }
 
-// While a node that doesn't announce waiting jobs is there, nothing that waits is stored; what need not wait
-// is accepted.
+// While a controller that doesn't announce waiting jobs runs, nothing that waits is stored; what need not
+// wait is accepted.
 TEST(MixedVersions, NothingWaitsWhileAControllerOfAnEarlierVersionRuns) {
     Site site{2};
     site.play([](Site& s) -> Task<void> {
@@ -644,7 +646,8 @@
 }
 
 // What production makes of the record of a waiting job: it reads the fields that it knows, and a team that no
-// settings name is nobody's. The node never releases a job whose needs it can't read, and never places it.
+// settings name is nobody's. The controller never releases a job whose dependencies it can't read, and never
+// places it.
 TEST(MixedVersions, ARecordWithoutItsNewFieldsIsKeptQueuedAndNeverPlaced) {
     Site site{2};
     site.play([](Site& s) -> Task<void> {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -9,24 +9,12 @@
 using test::Cluster;
 using test::holds;
 
-core::PlacementInput input(const Cluster& c) {
-    core::PlacementInput in;
-    in.job_table = &c.job_table;
-    in.cluster_view = &c.cluster_view;
-    in.teams = &c.teams;
-    in.objectives = &c.objectives;
-    for (const auto& [name, t] : c.teams) in.own_teams.insert(name);
-    in.now = c.now;
-    in.wall_clock_now = c.now;
-    return in;
-}
-
 TEST(Placement, KeepsEveryRuleOnAnyCluster) {
     holds("quota, free capacity, type, zones, kind", [] {
         const Cluster c = test::draw_cluster();
         core::FreeCapacity capacity = c.free_capacity();
         const core::FreeCapacity before = c.free_capacity();
-        const auto out = core::place(input(c), capacity);
+        const auto out = core::place(test::placement_input(c), capacity);
         std::map<std::string, core::Resources> use;
         std::map<std::string, core::Resources> free;
         for (const auto& [name, t] : c.teams) use[name] = c.job_table.team_use(name);
@@ -61,7 +49,7 @@
     Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
     for (const char* id : {"n-1", "n-2", "n-3"})
-        c.cluster_view.apply(test::report(id, "small", "a"), c.now, c.now);
+        c.cluster_view.apply(test::heartbeat(id, "small", "a"), c.now, c.now);
     c.job_table.put_job(test::job("req-1", "x", 2, 4), 1);
     core::Availability a;
     a.now = c.now;
@@ -69,7 +57,7 @@
     a.draining = {"n-1"};
     a.candidates = {"n-2"};
     core::FreeCapacity capacity = c.free_capacity(&a);
-    const auto out = core::place(input(c), capacity);
+    const auto out = core::place(test::placement_input(c), capacity);
     ASSERT_EQ(out.starts.size(), 2U);
     EXPECT_EQ(out.starts[0].attempt.machine, "n-3");
     EXPECT_EQ(out.starts[1].attempt.machine, "n-2");
@@ -79,11 +67,11 @@
     Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
     for (const char* id : {"n-1", "n-2", "n-3"})
-        c.cluster_view.apply(test::report(id, "small", "a", true), c.now, c.now);
+        c.cluster_view.apply(test::heartbeat(id, "small", "a", true), c.now, c.now);
     c.cluster_view.record_image("n-3", "img", 1, 20, c.now);
     c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
     core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(input(c), capacity);
+    const auto out = core::place(test::placement_input(c), capacity);
     ASSERT_EQ(out.starts.size(), 1U);
     EXPECT_EQ(out.starts[0].attempt.machine, "n-3");
 }
@@ -107,17 +95,17 @@
     EXPECT_EQ(core::queue_order(l, {"x"}, objectives, end).front()->job.id, "req-1");
 }
 
-// Each owner filled the capacity that was set free with its own queue, beyond its teams' guarantees, and the
-// owner of a team that was owed it stopped that work again.
+// Each shard owner filled the capacity that was freed from its own queue, beyond its teams' quotas, and the
+// shard owner of a team whose quota it was reserved for preempted that work again.
 TEST(Placement, WorkBeyondTheGuaranteeLeavesCapacityReservedForAnotherTeamsQuota) {
     Cluster c;
     c.teams["x"] = {"x", 4, 40, 0, 0};
     c.teams["y"] = {"y", 4, 40, 0, 0};
-    c.cluster_view.apply(test::report("n-1", "big", "a"), c.now, c.now);
+    c.cluster_view.apply(test::heartbeat("n-1", "big", "a"), c.now, c.now);
     auto own = test::job("req-1", "x", 20, 1);  // more than the guarantee, so not within it
     own.accepted = c.now;
     c.job_table.put_job(own, 1);
-    auto in = input(c);
+    auto in = test::placement_input(c);
     in.own_teams = {"x"};
     in.most_starts = 100;
     const auto starts = [&] {
@@ -156,7 +144,7 @@
         chunk.open[0] = {1, machine, 1};
         chunk.last_attempt = 1;
         c.job_table.put_chunk(id, 0, chunk);
-        auto r = test::report(machine, "small", "a");
+        auto r = test::heartbeat(machine, "small", "a");
         core::TaskStatus t;
         t.job = id;
         t.attempt = 1;
@@ -171,7 +159,7 @@
     service.priority = core::Priority::production;
     c.job_table.put_job(service, ++mod_revision);
     core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(input(c), capacity);
+    const auto out = core::place(test::placement_input(c), capacity);
     ASSERT_EQ(out.stops.size(), 2U);  // it may be stopped, if there is nothing else
     EXPECT_EQ(out.stops[0].job, "req-2");
     EXPECT_EQ(out.stops[1].job, "req-1");
@@ -204,27 +192,28 @@
 TEST(Placement, AGangStartsWholeOrNotAtAll) {
     Cluster c;
     c.teams["x"] = {"x", 24, 24, 0, 0};
-    for (const char* id : {"n-1", "n-2"}) c.cluster_view.apply(test::report(id, "small", "a"), c.now, c.now);
+    for (const char* id : {"n-1", "n-2"})
+        c.cluster_view.apply(test::heartbeat(id, "small", "a"), c.now, c.now);
     auto gang = test::job("req-1", "x", 3, 4);
     gang.kind = core::JobKind::gang;
     c.job_table.put_job(gang, 1);
     core::FreeCapacity capacity = c.free_capacity();
-    EXPECT_TRUE(core::place(input(c), capacity).starts.empty());
-    c.cluster_view.apply(test::report("n-3", "small", "b"), c.now, c.now);
+    EXPECT_TRUE(core::place(test::placement_input(c), capacity).starts.empty());
+    c.cluster_view.apply(test::heartbeat("n-3", "small", "b"), c.now, c.now);
     capacity = c.free_capacity();
-    const auto out = core::place(input(c), capacity);
+    const auto out = core::place(test::placement_input(c), capacity);
     ASSERT_EQ(out.starts.size(), 3U);
     for (const auto& s : out.starts) EXPECT_EQ(s.attempt.number, 1U);
     gang.one_zone = true;
     c.job_table.put_job(gang, 2);
     capacity = c.free_capacity();
-    EXPECT_TRUE(core::place(input(c), capacity).starts.empty()) << "no zone holds three";
+    EXPECT_TRUE(core::place(test::placement_input(c), capacity).starts.empty()) << "no zone holds three";
 }
 
-// One machine, full of req-1's only task. Gives the machine's report and the job's record for what comes
+// One machine, full of req-1's only task. Returns the machine's heartbeat and the job's record for what comes
 // next.
 std::pair<core::WorkerHeartbeat, core::Chunk> occupy(Cluster& c) {
-    auto r = test::report("n-1", "small", "a");
+    auto r = test::heartbeat("n-1", "small", "a");
     core::TaskStatus t;
     t.job = "req-1";
     t.attempt = 1;
@@ -249,7 +238,7 @@
     service.priority = core::Priority::production;
     service.spot = false;
     c.job_table.put_job(service, 3);
-    auto in = input(c);
+    auto in = test::placement_input(c);
     core::FreeCapacity capacity = c.free_capacity();
     auto out = core::place(in, capacity);
     ASSERT_EQ(out.stops.size(), 1U);
@@ -280,10 +269,11 @@
     occupy(c);
     c.job_table.put_job(test::job("req-2", "y", 2, 4), 3);
     core::FreeCapacity capacity = c.free_capacity();
-    EXPECT_TRUE(core::place(input(c), capacity).stops.empty());
+    EXPECT_TRUE(core::place(test::placement_input(c), capacity).stops.empty());
     c.job_table.put_job(test::job("req-2", "y", 1, 4), 4);
     capacity = c.free_capacity();
-    EXPECT_EQ(core::place(input(c), capacity).stops.size(), 1U) << "within its guarantee it need not wait";
+    EXPECT_EQ(core::place(test::placement_input(c), capacity).stops.size(), 1U)
+        << "within its guarantee it need not wait";
 }
 
 // A team beyond its guarantee but with higher priority, and one within its guarantee, once stopped each
@@ -300,7 +290,7 @@
         c.job_table.put_job(high, 1);
         c.job_table.put_job(low, 2);
         const std::string running = higher_runs ? "req-1" : "req-2";
-        auto r = test::report("n-1", "small", "a");
+        auto r = test::heartbeat("n-1", "small", "a");
         core::TaskStatus t;
         t.job = running;
         t.attempt = 1;
@@ -312,7 +302,7 @@
         chunk.open[0] = {1, "n-1", 1};
         c.job_table.put_chunk(running, 0, chunk);
         core::FreeCapacity capacity = c.free_capacity();
-        EXPECT_EQ(core::place(input(c), capacity).stops.size(), higher_runs ? 1U : 0U);
+        EXPECT_EQ(core::place(test::placement_input(c), capacity).stops.size(), higher_runs ? 1U : 0U);
     }
 }
 
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -16,17 +16,6 @@
     return in;
 }
 
-core::ScaleOutInput scale_out_input(const Cluster& c) {
-    core::ScaleOutInput in;
-    in.job_table = &c.job_table;
-    in.cluster_view = &c.cluster_view;
-    in.catalog = &c.types;
-    in.teams = &c.teams;
-    in.objectives = &c.objectives;
-    in.now = c.now;
-    return in;
-}
-
 // Free capacity that remembers the last one's sums is what is built from nothing, whatever has changed.
 TEST(FreeCapacity, WithMemoryIsTheSameAsWithout) {
     holds("same free capacity", [] {
@@ -192,8 +181,8 @@
 
 TEST(DrainPlanner, PausesWhileAStoppedTaskHasNoPlace) {
     Cluster c;
-    c.cluster_view.apply(test::report("n-1", "small", "a"), c.now, c.now);
-    c.cluster_view.apply(test::report("n-2", "small", "a"), c.now, c.now);
+    c.cluster_view.apply(test::heartbeat("n-1", "small", "a"), c.now, c.now);
+    c.cluster_view.apply(test::heartbeat("n-2", "small", "a"), c.now, c.now);
     c.job_table.put_job(test::job("req-1", "x", 3, 4), 1);
     core::DrainState state;
     const auto in = drain_input(c);
@@ -206,9 +195,9 @@
 
 TEST(DrainPlanner, ScalesInTheMostExpensiveOfEquals) {
     Cluster c;
-    c.cluster_view.apply(test::report("n-1", "small", "a", true), c.now, c.now);
-    c.cluster_view.apply(test::report("n-2", "small", "a", false), c.now, c.now);
-    c.cluster_view.apply(test::report("n-3", "small", "a", true), c.now, c.now);
+    c.cluster_view.apply(test::heartbeat("n-1", "small", "a", true), c.now, c.now);
+    c.cluster_view.apply(test::heartbeat("n-2", "small", "a", false), c.now, c.now);
+    c.cluster_view.apply(test::heartbeat("n-3", "small", "a", true), c.now, c.now);
     core::DrainSettings s;
     s.total_cap = 1;
     s.unneeded = Micros{0};
@@ -220,7 +209,7 @@
 TEST(DrainPlanner, StopsAtItsTimeBound) {
     Cluster c;
     for (int i = 0; i < 5; ++i)
-        c.cluster_view.apply(test::report("n-" + std::to_string(i), "small", "a"), c.now, c.now);
+        c.cluster_view.apply(test::heartbeat("n-" + std::to_string(i), "small", "a"), c.now, c.now);
     core::DrainState state;
     auto in = drain_input(c);
     int left = 2;
@@ -233,13 +222,14 @@
 TEST(UnresponsiveMachines, FewAreReleasedAndManyAreKept) {
     const Micros limit{10'000'000};
     std::vector<core::SilentMachine> machines;
+    machines.reserve(40);
     for (int i = 0; i < 40; ++i) machines.push_back({"n-" + std::to_string(i), Micros{0}, true});
     machines[0].silent_for = Micros{11'000'000};
     EXPECT_EQ(core::releasable(machines, limit, 0), std::vector<std::string>{"n-0"});
     machines[0].holds_tasks = false;
     EXPECT_TRUE(core::releasable(machines, limit, 0).empty()) << "an empty one gets longer";
     machines[0].holds_tasks = true;
-    EXPECT_TRUE(core::releasable(machines, limit, 5).empty()) << "enough were given back within the minute";
+    EXPECT_TRUE(core::releasable(machines, limit, 5).empty()) << "enough were released within the minute";
     // A zone is cut: its machines reach the limit one after the other, and none of them may go.
     for (std::size_t i = 1; i < 12; ++i)
         machines[i].silent_for = Micros{6'000'000 + static_cast<std::int64_t>(i) * 100'000};
@@ -252,9 +242,9 @@
     auto j = test::job("req-1", "x", 1, 1);
     j.estimate_s = 1;
     c.job_table.put_job(j, 1);
-    auto in = scale_out_input(c);
+    auto in = test::scale_out_input(c);
     EXPECT_EQ(core::plan_scale_out({}, in, c.free_capacity()).size(), 1U);
-    c.cluster_view.apply(test::report("n-1", "small", "a"), c.now, c.now);
+    c.cluster_view.apply(test::heartbeat("n-1", "small", "a"), c.now, c.now);
     EXPECT_TRUE(core::plan_scale_out({}, in, c.free_capacity()).empty());
 }
 
@@ -266,7 +256,7 @@
     j.spot = false;
     j.types = std::vector<std::string>{"small"};
     c.job_table.put_job(j, 1);
-    auto in = scale_out_input(c);
+    auto in = test::scale_out_input(c);
     const auto count = [&] {
         std::uint32_t n = 0;
         for (const auto& [pool, k] : core::plan_scale_out({}, in, c.free_capacity())) {
--- a/tests/reachability_probes_test.cpp
+++ b/tests/reachability_probes_test.cpp
@@ -63,7 +63,7 @@
 
 TEST(ReachabilityProbes, MachinesThatTheClusterViewDoesNotHaveAreDropped) {
     core::ClusterView cluster_view;
-    cluster_view.apply(test::report("n-1", "small", "a"), kSecond, kSecond);
+    cluster_view.apply(test::heartbeat("n-1", "small", "a"), kSecond, kSecond);
     ReachabilityProbes probes;
     probes.request("n-1");
     probes.request("n-2");
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -1,4 +1,4 @@
-// Late copies, one-way machines, instant restarts and long overload, without input or output.
+// Stale heartbeats, one-way partitions, instant restarts and long overload, without input or output.
 #include "store/token_bucket.hpp"
 #include "support.hpp"
 
@@ -10,26 +10,18 @@
 
 constexpr Micros kDoubt{26'000'000};
 
-core::TaskStatus running(const std::string& job, std::uint32_t task, std::uint64_t attempt) {
-    core::TaskStatus t;
-    t.job = job;
-    t.task = task;
-    t.attempt = attempt;
-    t.state = core::TaskState::running;
-    return t;
-}
-
-// One machine's true history: what it would report at each tick.
+// One machine's true history: its heartbeats in order.
 std::vector<core::WorkerHeartbeat> draw_history(const std::string& machine) {
     std::vector<core::WorkerHeartbeat> out;
-    auto r = test::report(machine, "small", "a");
+    auto r = test::heartbeat(machine, "small", "a");
     std::uint64_t attempt = 0;
     const int n = *rc::gen::inRange(2, 25);
     for (int i = 0; i < n; ++i) {
         ++r.heartbeat_sequence;
         switch (*rc::gen::inRange(0, 6)) {
             case 0:
-                r.tasks.push_back(running("req-" + std::to_string(*rc::gen::inRange(0, 3)), 0, ++attempt));
+                r.tasks.push_back(
+                    test::task_status("req-" + std::to_string(*rc::gen::inRange(0, 3)), 0, ++attempt));
                 break;
             case 1:
                 if (!r.tasks.empty()) r.tasks.back().state = core::TaskState::exited;
@@ -56,7 +48,7 @@
     return a.incarnation == b.incarnation && a.tasks == b.tasks;
 }
 
-// Copies of reports come late, from seconds to well over a lease, and more than once.
+// Duplicates of heartbeats come late, from seconds to well over a lease, and more than once.
 TEST(StaleHeartbeats, ChangeNothingThatANewerOneSaid) {
     holds("copies in any order", [] {
         const auto history = draw_history("n-1");
@@ -77,7 +69,7 @@
             }
             const auto* m = p.find("n-1");
             RC_ASSERT(m != nullptr && same_tasks(m->last_heartbeat, history[newest]));
-            RC_ASSERT(m->last_heartbeat_at == changed);  // a copy is no sign of life
+            RC_ASSERT(m->last_heartbeat_at == changed);  // a duplicate proves nothing
             RC_ASSERT(!m->confirmed);                    // and however many come, they prove none
             for (const auto& r : history) {
                 for (const auto& t : r.tasks) {
@@ -98,24 +90,18 @@
     test::Cluster c;
     c.teams["x"] = {"x", 8, 24, 0, 0};
     c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
-    core::PlacementInput in;
-    in.job_table = &c.job_table;
-    in.cluster_view = &c.cluster_view;
-    in.teams = &c.teams;
-    in.objectives = &c.objectives;
-    in.own_teams = {"x"};
-    in.now = in.wall_clock_now = c.now;
+    core::PlacementInput in = test::placement_input(c);
     const auto starts = [&] {
         core::FreeCapacity capacity = c.free_capacity();
         return core::place(in, capacity).starts.size();
     };
-    // Nobody here knows this machine: its report may be a minute old, and the machine gone.
-    c.cluster_view.apply(test::report("n-1", "small", "a"), c.now, c.now, false, kDoubt);
+    // Nobody here knows this machine: its heartbeat may be a minute old, and the machine gone.
+    c.cluster_view.apply(test::heartbeat("n-1", "small", "a"), c.now, c.now, false, kDoubt);
     EXPECT_EQ(starts(), 0U);
-    auto copy = test::report("n-1", "small", "a");
+    auto copy = test::heartbeat("n-1", "small", "a");
     copy.heartbeat_sequence = 7;
     c.cluster_view.apply(copy, c.now, c.now, false, kDoubt);
-    EXPECT_EQ(starts(), 0U) << "two copies prove no more than one";
+    EXPECT_EQ(starts(), 0U) << "two duplicates prove no more than one";
     auto answer = copy;
     answer.heartbeat_sequence = 9;
     c.cluster_view.apply(answer, c.now, c.now, true, kDoubt);
@@ -138,14 +124,14 @@
     EXPECT_TRUE(p.released(name(most)));
     EXPECT_TRUE(p.released(name(1)));
     EXPECT_FALSE(p.released(name(0))) << "kept for ever";
-    EXPECT_FALSE(p.apply(test::report(name(most), "small", "a"), Micros{1}, Micros{1}, false, kDoubt));
+    EXPECT_FALSE(p.apply(test::heartbeat(name(most), "small", "a"), Micros{1}, Micros{1}, false, kDoubt));
     EXPECT_EQ(p.find(name(most)), nullptr);
-    ASSERT_TRUE(p.apply(test::report(name(0), "small", "a"), Micros{1}, Micros{1}, false, kDoubt));
+    ASSERT_TRUE(p.apply(test::heartbeat(name(0), "small", "a"), Micros{1}, Micros{1}, false, kDoubt));
     EXPECT_FALSE(p.find(name(0))->confirmed);
 }
 
-// A fleet of 4,000 machines that is replaced several times over within minutes: late reports of all of them
-// may still be under way.
+// A fleet of 4,000 machines that is replaced several times over within minutes: late heartbeats of all of
+// them may still be under way.
 TEST(ReleasedMachines, AreKeptByTimeAndNotByNumber) {
     constexpr int kFleet = 4'000;
     constexpr int kFleets = 5;
@@ -181,8 +167,8 @@
     });
 }
 
-// Another node hears whole reports and short ones; some are lost, some come again. Whatever it believes of a
-// machine's tasks at a tick must be what they were at that tick.
+// Another controller receives whole heartbeats and keep-alives; some are lost, some come again. Whatever it
+// believes of a machine's tasks at a heartbeat sequence must be what they were then.
 TEST(PeerMesh, KeepAlivesNeverHideAMissedChange) {
     holds("lossy stream of whole and short reports", [] {
         const auto history = draw_history("n-1");
@@ -214,7 +200,7 @@
     });
 }
 
-// Whoever asks later waits longer, however much is asked; and the limit holds.
+// Later requests wait longer, however many there are; and the limit holds.
 TEST(TokenBucket, KeepsItsOrderAndItsRate) {
     holds("arrivals at any times", [] {
         controller::TokenBucket b{10, 5};
@@ -237,7 +223,7 @@
     });
 }
 
-// More is asked for than the machines can do, for as long as it lasts: production, small urgent tasks, wide
+// More is submitted than the machines can do, for as long as it lasts: production, small urgent tasks, wide
 // ones, gangs, and jobs that have missed what was wanted. Each begins within a bound.
 TEST(Queue, UnderLastingOverloadEveryJobBeginsWithinABound) {
     holds("begins within four minutes", [] {
@@ -248,7 +234,7 @@
         std::map<std::string, core::WorkerHeartbeat> reports;
         for (int i = 0; i < 4; ++i) {
             const std::string id = "n-" + std::to_string(100 + i);
-            reports[id] = test::report(id, i == 0 ? "big" : "small", i % 2 == 0 ? "a" : "b");
+            reports[id] = test::heartbeat(id, i == 0 ? "big" : "small", i % 2 == 0 ? "a" : "b");
         }
         std::map<std::string, Micros> ends;  // "job/task" -> when it ends
         std::map<std::string, Micros> accepted;
@@ -315,13 +301,7 @@
                 ++r.heartbeat_sequence;
                 c.cluster_view.apply(r, c.now, c.now);
             }
-            core::PlacementInput in;
-            in.job_table = &c.job_table;
-            in.cluster_view = &c.cluster_view;
-            in.teams = &c.teams;
-            in.objectives = &c.objectives;
-            in.own_teams = {"x", "y"};
-            in.now = in.wall_clock_now = c.now;
+            core::PlacementInput in = test::placement_input(c);
             in.reservations = reservations;
             in.most_stops = 0;
             core::FreeCapacity capacity = c.free_capacity();
@@ -331,7 +311,8 @@
                 auto& chunk = record(s.job, 0);
                 chunk.open[s.task] = s.attempt;
                 chunk.last_attempt = std::max(chunk.last_attempt, s.attempt.number);
-                reports[s.attempt.machine].tasks.push_back(running(s.job, s.task, s.attempt.number));
+                reports[s.attempt.machine].tasks.push_back(
+                    test::task_status(s.job, s.task, s.attempt.number));
                 ends[s.job + "/" + std::to_string(s.task)] =
                     c.now + Micros{*rc::gen::inRange(5, 20) * 1'000'000};
                 accepted.erase(s.job);
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -1,6 +1,6 @@
-// Four thousand machines against a model of what truly runs: a zone goes dark and comes back, hundreds
-// restart at once, held orders and copies of reports arrive late. No sockets and no clocks: seconds are
-// counted.
+// Four thousand machines against a model of what truly runs: a zone is partitioned and comes back, hundreds
+// restart at once, delayed commands and duplicates of heartbeats arrive late. No sockets and no clocks:
+// seconds are counted.
 #include <random>
 
 #include "core/failure_detection.hpp"
@@ -40,7 +40,7 @@
         for (int i = 0; i < machines; ++i) {
             Worker w;
             const std::string id = "n-" + std::to_string(10'000 + i);
-            w.report = test::report(id, i % 10 == 0 ? "big" : "small", i % 2 == 0 ? "a" : "b", i % 3 == 0);
+            w.report = test::heartbeat(id, i % 10 == 0 ? "big" : "small", i % 2 == 0 ? "a" : "b", i % 3 == 0);
             w.free = c.types.at(w.report.type).size;
             workers.emplace(id, std::move(w));
         }
@@ -100,7 +100,7 @@
 
     test::Cluster c;
     std::map<std::string, Worker> workers;
-    std::vector<core::WorkerHeartbeat> copies;  // of reports, that arrive late
+    std::vector<core::WorkerHeartbeat> copies;  // of heartbeats, that arrive late
     std::map<std::string, int> started;         // of each zone in this second
     int now = 0;
 
@@ -136,7 +136,7 @@
             EXPECT_TRUE(c.cluster_view.apply(w.report, at(now), at(now)));
         }
     }
-    // What an owner does with what it hears, and with leases.
+    // What a shard owner does with what it hears, and with leases.
     void reconcile() {
         std::vector<std::pair<std::string, core::Chunk>> changed;
         for (const auto& [id, e] : c.job_table.jobs()) {
@@ -170,11 +170,7 @@
         a.now = at(now);
         a.silent_after = Micros{1'000'000LL * (kReport + 2)};
         auto capacity = c.free_capacity(&a);
-        core::PlacementInput in;
-        in.job_table = &c.job_table;
-        in.cluster_view = &c.cluster_view;
-        in.teams = &c.teams;
-        in.objectives = &c.objectives;
+        core::PlacementInput in = test::placement_input(c);
         in.own_teams = {team};
         in.now = in.wall_clock_now = at(now);
         in.most_starts = 1'000;
@@ -249,13 +245,13 @@
         f.started.clear();
         f.step();
         if (::testing::Test::HasFatalFailure()) return;
-        // Placed nowhere where nothing is heard, and nobody gives back half the fleet.
+        // Nothing is placed on unresponsive machines, and nobody releases half the fleet.
         if (s >= 40 && s < 64) {
             EXPECT_EQ(f.started["b"], 0) << s;
             EXPECT_GT(f.started["a"], 0) << s;
             EXPECT_EQ(f.silent_to_release(), 0U) << s;
         }
-        // Copies of old reports change nothing, however late.
+        // Stale heartbeats change nothing, however late.
         if (s % 20 == 19) {
             for (const auto& r : f.copies) EXPECT_FALSE(f.c.cluster_view.apply(r, at(f.now), at(f.now)));
             f.copies.clear();
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -125,8 +125,9 @@
     });
 }
 
-// The record came back into the copy of the node that had cancelled the job, after the job's end had been
-// recorded: a user was told of it again, and each group commit of that node that named it failed, for good.
+// The record came back into the replica of the controller that had cancelled the job, after the job's end had
+// been recorded: users got it again in answers, and each group commit of that controller that named it
+// failed, for good.
 TEST(Controller, ALateAnswerToACancellationBringsNoJobBack) {
     Site site{1};
     site.world.endless = {"req-1"};
@@ -159,7 +160,7 @@
     });
 }
 
-// Whatever made the copy wrong: a conflict that the copy cannot explain has the store read anew.
+// Whatever made the replica wrong: a conflict that it cannot explain makes it reload the store.
 TEST(Controller, AReplicaThatTheStoreRefutesIsReloaded) {
     Site site{1};
     site.world.endless = {"req-1"};
@@ -168,7 +169,7 @@
             auto step = s.run("req-1", "x", "service", 2);
             co_await std::move(step);
         }
-        // Somebody else's change, and this node never hears of it.
+        // Somebody else's change, of which this controller never hears.
         s.state.hidden = [](const Json& e) { return e.contains("delete") && e["delete"] == "h/job/req-1"; };
         const int gone =
             s.state.late_commit({{"when", Json::array()}, {"writes", {{{"delete", "h/job/req-1"}}}}});
@@ -292,8 +293,8 @@
     });
 }
 
-// A machine that never comes back, and that nobody releases since too many are silent: its last report says
-// that the task runs, and its lease alone shows that it does not.
+// A machine that never comes back, and that nobody releases since too many are unresponsive: its last
+// heartbeat says that the task runs, and its lease alone shows that it does not.
 TEST(Controller, TasksOfAMachineThatStaysUnresponsiveRunElsewhereAfterItsLease) {
     Site site{2};
     site.world.endless = {"req-1"};
@@ -329,7 +330,7 @@
         }
         const auto homes = s.world.running;
         s.state.down = true;
-        // Longer than grants and worker leases: only the nodes' promises to each other carry it.
+        // Longer than store leases and worker leases: only the controllers' votes for each other carry it.
         co_await s.loop.sleep(Micros{5'000'000});
         EXPECT_EQ(s.world.running, homes);
         auto refused = s.call(0, "POST", "/api/jobs/req-1/cancel", nullptr);
@@ -387,8 +388,8 @@
     });
 }
 
-// A machine whose reports arrive, but that hears nothing: its lease ends on its own side, its session rises,
-// its reports go on. Its tasks run elsewhere, it gets nothing new, and it is given back.
+// A machine whose heartbeats arrive, but that hears nothing: its lease expires on its own side, its
+// incarnation rises, its heartbeats go on. Its tasks run elsewhere, it gets nothing new, and it is released.
 TEST(Controller, AOneWayPartitionedMachineLosesItsTasksGetsNoneAndIsReleased) {
     Site site{2};
     site.kill(0);
@@ -434,7 +435,7 @@
 TEST(Controller, ALiveMachineIsConfirmedBesideManyDeadOnes) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
-        // They report once, with an address at which nobody answers.
+        // They send one heartbeat, with an address at which nobody answers.
         const io::Address nobody = test::local(test::free_port());
         std::size_t asked = 0;
         io::HttpServer dead{s.loop, nobody, {}, [&](io::HttpRequest) -> Task<io::HttpResponse> {
@@ -458,7 +459,7 @@
             auto step = s.insist("POST", "/hello", report, {200});
             co_await std::move(step);
         }
-        // By then no report shows by its fencing token alone that it is new.
+        // By then no heartbeat shows by its fencing token alone that it is new.
         co_await s.loop.sleep(Micros{7'000'000});
         {
             auto step = s.submit("req-1", "x", "sweep", 2);
@@ -468,18 +469,21 @@
             auto step = s.until_status("req-1", "done");
             co_await std::move(step);
         }
-        // No dead machine is asked twice before the live ones were asked once.
+        // No dead machine is probed twice before the live ones were probed once.
         EXPECT_LE(asked, 1300U);
     });
 }
 
-// Workers stay where they are answered: after a restart one node bore the whole fleet's reports for good.
+// Workers stay where they are answered: after a restart one controller bore the whole fleet's heartbeats for
+// good.
 TEST(Controller, HeartbeatsSpreadOverTheControllers) {
     Site site{3};
     site.play([](Site& s) -> Task<void> {
         std::vector<std::unique_ptr<test::WorkerStandIn>> workers;
+        workers.reserve(24);
         for (int i = 0; i < 24; ++i)
-            workers.push_back(s.worker("w-" + std::to_string(100 + i)));  // all begin with the first node
+            workers.push_back(
+                s.worker("w-" + std::to_string(100 + i)));  // all begin with the first controller
         const std::function<bool()> spread = [&] {
             std::map<std::size_t, int> at;
             for (const auto& w : workers) ++at[w->home()];
@@ -491,7 +495,7 @@
     });
 }
 
-// Copies of reports reach a node that has just started, and one that leads anew.
+// Stale heartbeats reach a controller that has just started, and one that leads anew.
 TEST(Controller, StaleHeartbeatsBringBackNothing) {
     Site site{2};
     site.world.endless = {"req-1"};
@@ -502,7 +506,8 @@
         }
         const std::string machine = s.world.running["req-1/0"];
         const Json early = s.cloud.workers.at(machine)->last_report;
-        // Of a machine that was given back long ago and that no node remembers, with a task said to be done.
+        // Of a machine that was released long ago and that no controller remembers, with a task said to be
+        // done.
         Json dead = early;
         dead["perch"] = "n-000000";
         dead["address"] = "127.0.0.1:1";
@@ -536,7 +541,7 @@
             auto step = s.until_status("req-2", "done");
             co_await std::move(step);
         }
-        EXPECT_FALSE(used) << "a machine that only late copies speak of was used";
+        EXPECT_FALSE(used) << "a machine that only stale heartbeats name was used";
         EXPECT_EQ(s.world.running["req-1/0"], machine);
         auto step = s.until_status("req-1", "running");
         co_await std::move(step);
@@ -544,8 +549,8 @@
     });
 }
 
-// A start that got no answer, was repeated and carried out, may arrive once more: after a reap it would start
-// the task again.
+// A start that got no answer, was repeated and carried out, may arrive once more: after its exit was
+// acknowledged it would start the task again.
 TEST(Controller, ADuplicateStartThatArrivesAfterTheExitStartsNothing) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
@@ -572,7 +577,8 @@
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        co_await s.loop.sleep(Micros{2'800'000});  // the node gives up on that copy, and sends another
+        co_await s.loop.sleep(
+            Micros{2'800'000});  // the controller gives up on that request, and sends another
         for (auto& [id, w] : s.cloud.workers) w->hold_orders = false;
         {
             auto step = s.until_status("req-2", "done");
@@ -589,12 +595,12 @@
     });
 }
 
-// The node hears workers only. It falls silent when its node lease ends, its teams get another owner, its
-// workers move on within their leases, and it comes back without help.
+// The controller hears workers only. It stops answering when its leadership lease ends, its teams get another
+// shard owner, its workers move on within their leases, and it comes back without help.
 TEST(Controller, AControllerThatReachesOnlyItsWorkersStopsAnsweringAndRecovers) {
     Site site{3, 0};
     site.world.lease_s = 6;
-    site.kill(1);  // the relayed node leads
+    site.kill(1);  // the relayed controller leads
     site.kill(2);
     site.world.endless = {"req-1", "req-2", "req-3"};
     site.play([](Site& s) -> Task<void> {
@@ -624,11 +630,11 @@
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        // By then it must be silent: a worker that comes to it is sent away.
+        // By then it must not answer: a worker that comes to it is redirected.
         auto hello = s.call(0, "POST", "/hello", s.cloud.workers.begin()->second->last_report);
         const auto answer = co_await std::move(hello);
         EXPECT_EQ(answer.first, 421);
-        // Longer than a lease: whoever kept its worker had to hear from an entitled node.
+        // Longer than a lease: whoever kept its worker had to hear from a controller that may act.
         co_await s.loop.sleep(Micros{8'000'000});
         EXPECT_EQ(s.world.running, homes);
         // Nor may it be sent users, whom it can only refuse.
@@ -657,7 +663,7 @@
     });
 }
 
-// Nodes end and are back at once, one, some or all of them, also while an epoch is being written.
+// Controllers crash and restart at once, one, some or all of them, also while an epoch is being written.
 TEST(Controller, ControllersThatRestartAtOnceLoseNothingAndForgetNothing) {
     Site site{3};
     site.world.endless = {"req-1"};
@@ -682,7 +688,7 @@
                 co_await s.loop.sleep(Micros{static_cast<std::int64_t>(random() % 60'000)});
                 s.start(i);
             }
-            // Grants of the lives that ended run out now, and elections are under way.
+            // Store leases of the ended incarnations expire now, and elections are under way.
             co_await s.loop.sleep(Micros{static_cast<std::int64_t>(random() % 1'500'000)});
         }
         for (int round = 0; round < 12; ++round) {
@@ -694,8 +700,8 @@
     });
 }
 
-// The first life's write of its own key comes again, late: with it the key would belong to a grant that
-// nobody renews, and vanish under a node that acts.
+// The first incarnation's write of its own key comes again, late: with it the key would belong to a store
+// lease that nobody renews, and vanish under a controller that acts.
 TEST(Controller, ALateWriteOfAnEarlierIncarnationsKeyChangesNothing) {
     Site site{1};
     site.play([](Site& s) -> Task<void> {
@@ -725,12 +731,12 @@
         s.state.on_commit = nullptr;
         EXPECT_EQ(s.state.late_commit(puts.front()), 409);
         EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], store_lease);
-        co_await s.loop.sleep(Micros{2'000'000});  // the first life's grant is long over
+        co_await s.loop.sleep(Micros{2'000'000});  // the first incarnation's store lease is long over
         EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], store_lease);
     });
 }
 
-// Thousands of jobs, and a watch that is too old: every node reads the store whole again, and answers.
+// Thousands of jobs, and a watch that is too old: every controller reads the store whole again, and answers.
 TEST(Controller, EveryJobIsKnownOnEveryControllerAfterAReloadOfALargeStore) {
     Site site{2};
     site.play([](Site& s) -> Task<void> {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -89,7 +89,7 @@
     EXPECT_THROW((void)controller::parse_settings("[]"), SettingsError);
 }
 
-// Submissions once waited behind the node's own group commits for a share of the store's limit.
+// Submissions once waited behind the controller's own group commits for a share of the store's limit.
 TEST(TokenBucket, UsersGoAheadOfTheControllersOwnWritesWithinLimits) {
     using core::Micros;
     controller::TokenBucket b{10, 10};
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -1,4 +1,5 @@
-// Stand-ins for the state service, the cloud and workers, speaking their protocols on loopback.
+/// Stand-ins for the state service, the cloud and workers, speaking their protocols on loopback. What a
+/// stand-in does is set in its public members, at any time; what it counts is read there.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,31 +18,35 @@
 
 using wire::Json;
 
-// Each test process has a loopback address of its own and counts its ports. A free port that the kernel named
-// could be taken between the asking and the listening, by another test or by an outgoing connection, which
-// are given ports at 127.0.0.1.
+/// Each test process has a loopback address of its own and counts its ports. A free port that the kernel
+/// named could be taken before somebody listens at it, by another test or by an outgoing connection, which
+/// are given ports at 127.0.0.1.
 inline io::Address local(std::uint16_t port) {
     const auto pid = static_cast<std::uint32_t>(::getpid());
     return {0x7f000000U | (0x010000U + pid % 0xfe0000U), port};
 }
+/// A port of local() that nobody in this process has used.
 inline std::uint16_t free_port() {
     static std::uint16_t last = 10'000;
     return ++last;
 }
-inline std::string text_of(io::Address a) {
+/// The address as messages write it, "a.b.c.d:port".
+inline std::string text_of(io::Address address) {
     std::string out;
     for (int shift = 24; shift >= 0; shift -= 8)
-        out += std::to_string(a.ip >> shift & 0xffU) + (shift > 0 ? "." : ":");
-    return out + std::to_string(a.port);
+        out += std::to_string(address.ip >> shift & 0xffU) + (shift > 0 ? "." : ":");
+    return out + std::to_string(address.port);
 }
 
-inline io::HttpResponse reply(int status, const Json& v = Json::object()) {
-    io::HttpResponse r;
-    r.status = status;
-    r.body = wire::encode(v);
-    return r;
+/// A response with a CBOR body.
+inline io::HttpResponse reply(int status, const Json& body = Json::object()) {
+    io::HttpResponse response;
+    response.status = status;
+    response.body = wire::encode(body);
+    return response;
 }
 
+/// The value of a key in the query of a target; empty without it.
 inline std::string query(const std::string& target, const std::string& key) {
     const auto at = target.find(key + "=");
     if (at == std::string::npos) return "";
@@ -49,7 +54,7 @@
     return target.substr(from, target.find('&', from) - from);
 }
 
-// Passes connections on to somebody else until it is cut: then nothing more arrives on either side.
+/// Passes connections on to somebody else until it is cut: then nothing more arrives on either side.
 class Relay {
   public:
     Relay(io::Loop& loop, io::Address to)
@@ -71,19 +76,19 @@
         auto task = io::connect(loop_, to_, soon);
         auto far = co_await std::move(task);
         if (!far) co_return;
-        auto a = std::make_shared<io::Socket>(std::move(near));
-        auto b = std::make_shared<io::Socket>(std::move(*far));
-        scope_.spawn(pump(a, b));
-        auto back = pump(b, a);
+        auto near_shared = std::make_shared<io::Socket>(std::move(near));
+        auto far_shared = std::make_shared<io::Socket>(std::move(*far));
+        scope_.spawn(pump(near_shared, far_shared));
+        auto back = pump(far_shared, near_shared);
         co_await std::move(back);
     }
     io::Task<void> pump(std::shared_ptr<io::Socket> from, std::shared_ptr<io::Socket> to) {
         std::array<char, 16384> buffer;
         while (true) {
             const io::Micros long_after = io::steady_now() + io::Micros{60'000'000};
-            const auto n = co_await from->read(buffer.data(), buffer.size(), long_after);
-            if (!n || *n == 0 || cut) co_return;
-            const std::string_view data{buffer.data(), *n};
+            const auto length = co_await from->read(buffer.data(), buffer.size(), long_after);
+            if (!length || *length == 0 || cut) co_return;
+            const std::string_view data{buffer.data(), *length};
             auto sent = to->write(data, long_after);
             const bool ok = co_await std::move(sent);
             if (!ok) co_return;
@@ -95,13 +100,14 @@
     io::Scope scope_;
 };
 
+/// The state service: keys with revisions, transactions, leases and a watch, and the ways in which it fails.
 class StateStandIn {
   public:
     explicit StateStandIn(io::Loop& loop)
         : address(local(free_port())),
           loop_(loop),
           changed_(loop),
-          server_(loop, address, {}, [this](io::HttpRequest r) { return handle(std::move(r)); }) {
+          server_(loop, address, {}, [this](io::HttpRequest request) { return handle(std::move(request)); }) {
         scope_.spawn(server_.serve());
         scope_.spawn(expire());
     }
@@ -141,169 +147,205 @@
     std::vector<std::string> oversized;  // what was refused for its size, in words
     std::size_t conflicts = 0;
 
-    // A copy of an old request arrives.
-    int late_commit(const Json& t) { return commit(t).status; }
+    /// A duplicate of an old transaction arrives; returns the status of its answer.
+    int late_commit(const Json& transaction) { return commit(transaction).status; }
 
   private:
-    struct Grant {
-        io::Micros life{}, until{};
+    struct StoreLease {
+        io::Micros ttl{};
+        io::Micros expires_at{};
     };
     io::Task<void> expire() {
         while (true) {
             co_await loop_.sleep(io::Micros{20'000});
             if (down) {
-                for (auto& [id, g] : grants_) g.until = io::steady_now() + g.life;
+                for (auto& [id, lease] : store_leases_) lease.expires_at = io::steady_now() + lease.ttl;
                 continue;
             }
-            for (auto it = grants_.begin(); it != grants_.end();) {
-                if (it->second.until > io::steady_now()) {
+            for (auto it = store_leases_.begin(); it != store_leases_.end();) {
+                if (it->second.expires_at > io::steady_now()) {
                     ++it;
                     continue;
                 }
                 const auto id = it->first;
-                it = grants_.erase(it);
-                drop(id);
+                it = store_leases_.erase(it);
+                delete_keys_of(id);
             }
         }
     }
-    void drop(std::uint64_t store_lease) {
-        for (auto i = items.begin(); i != items.end();) {
-            if (i->second.store_lease != store_lease) {
-                ++i;
+    void delete_keys_of(std::uint64_t store_lease) {
+        for (auto it = items.begin(); it != items.end();) {
+            if (it->second.store_lease != store_lease) {
+                ++it;
                 continue;
             }
-            log_.push_back({{"delete", i->first}, {"stamp", ++revision}});
-            i = items.erase(i);
+            log_.push_back({{"delete", it->first}, {"stamp", ++revision}});
+            it = items.erase(it);
         }
         changed_.notify_all();
     }
-    io::Task<io::HttpResponse> handle(io::HttpRequest q) {
-        if (q.target.starts_with("/watch")) {
-            const auto after = std::stoull(query(q.target, "after"));
-            const auto prefix = query(q.target, "starts");
-            const auto end = io::steady_now() + io::Micros{std::stoll(query(q.target, "blockMs")) * 1000};
-            while (true) {
-                if (after < oldest) co_return reply(410);
-                Json log = Json::array();
-                for (const auto& e : log_) {
-                    const std::string key = e.contains("write") ? e["write"] : e["delete"];
-                    if (hidden && hidden(e)) continue;
-                    if (e["stamp"].get<std::uint64_t>() > after && key.starts_with(prefix)) log.push_back(e);
-                }
-                if (!down && !hold_watches && (!log.empty() || io::steady_now() >= end)) {
-                    auto out = reply(200, {{"ledger", revision}, {"log", log}});
-                    if (watch_latency.count() > 0) co_await loop_.sleep(watch_latency);
-                    co_return out;
-                }
-                co_await changed_.wait(down || hold_watches ? io::steady_now() + io::Micros{50'000} : end);
-            }
+    io::Task<io::HttpResponse> handle(io::HttpRequest request) {
+        if (request.target.starts_with("/watch")) {
+            auto watching = watch(request.target);
+            auto response = co_await std::move(watching);
+            co_return response;
         }
         if (down) co_return reply(503, {{"error", "trouble"}});
-        const auto body = wire::decode(q.body);
-        if (q.target.starts_with("/store?")) {
-            Json pairs = Json::array();
-            bool more = false;
-            for (const auto& [k, i] : items) {
-                if (!k.starts_with(query(q.target, "starts")) || k <= query(q.target, "after")) continue;
-                more = pairs.size() == page;
-                if (more) break;
-                pairs.push_back({{"path", k}, {"v", i.value}, {"stamp", i.mod_revision}});
-            }
-            auto out = reply(200, {{"pairs", pairs}, {"hasNext", more}, {"ledger", revision}});
+        if (request.target.starts_with("/store?")) {
+            auto out = page_of(request.target);
             ++lists;
             if (list_latency.count() > 0) co_await loop_.sleep(list_latency);
             co_return out;
         }
-        if (q.target.starts_with("/store/")) {
+        if (request.target.starts_with("/store/")) {
             if (read_latency.count() > 0) co_await loop_.sleep(read_latency);
-            const auto it = items.find(q.target.substr(7));
-            if (it == items.end()) co_return reply(404, {{"ledger", revision}});
-            co_return reply(
-                200, {{"path", it->first}, {"v", it->second.value}, {"stamp", it->second.mod_revision}});
+            co_return read(request.target.substr(std::string_view{"/store/"}.size()));
         }
-        if (q.target == "/commit") {
-            const Treatment treatment = treat ? treat(*body) : Treatment::carry_out;
-            if (treatment == Treatment::refuse) co_return reply(503, {{"error", "trouble"}});
-            if (treatment == Treatment::hold) {
-                recorded_attempts.push_back(*body);
-                co_return reply(500);
+        if (request.target == "/commit") {
+            auto treated = treat_transaction(*wire::decode(request.body));
+            auto response = co_await std::move(treated);
+            co_return response;
+        }
+        if (request.target == "/grants") co_return acquire_lease(*wire::decode(request.body));
+        if (request.target.starts_with("/grants/"))
+            co_return renew_lease(std::stoull(request.target.substr(std::string_view{"/grants/"}.size())));
+        co_return reply(400);
+    }
+    io::Task<io::HttpResponse> watch(std::string target) {
+        const auto after = std::stoull(query(target, "after"));
+        const auto prefix = query(target, "starts");
+        const auto end = io::steady_now() + io::Micros{std::stoll(query(target, "blockMs")) * 1000};
+        while (true) {
+            if (after < oldest) co_return reply(410);
+            const Json changes = changes_after(after, prefix);
+            if (!down && !hold_watches && (!changes.empty() || io::steady_now() >= end)) {
+                auto out = reply(200, {{"ledger", revision}, {"log", changes}});
+                if (watch_latency.count() > 0) co_await loop_.sleep(watch_latency);
+                co_return out;
             }
-            auto out = commit(*body);
-            if (treatment == Treatment::lose_answer) out = reply(500);
-            const io::Micros wait = answer_after ? answer_after(*body) : io::Micros{0};
-            if (wait.count() > 0) co_await loop_.sleep(wait);
-            co_return out;
+            co_await changed_.wait(down || hold_watches ? io::steady_now() + io::Micros{50'000} : end);
         }
-        if (q.target == "/grants") {
-            const io::Micros life{(*body)["lifeMs"].get<std::int64_t>() * 1000};
-            grants_[++next_grant_] = {life, io::steady_now() + life};
-            co_return reply(200, {{"tenure", next_grant_}});
+    }
+    Json changes_after(std::uint64_t after, const std::string& prefix) const {
+        Json changes = Json::array();
+        for (const auto& change : log_) {
+            const std::string key = change.contains("write") ? change["write"] : change["delete"];
+            if (hidden && hidden(change)) continue;
+            if (change["stamp"].get<std::uint64_t>() > after && key.starts_with(prefix))
+                changes.push_back(change);
         }
-        if (q.target.starts_with("/grants/")) {
-            const auto it = grants_.find(std::stoull(q.target.substr(8)));
-            if (it == grants_.end()) co_return reply(404);
-            it->second.until = io::steady_now() + it->second.life;
-            co_return reply(200);
+        return changes;
+    }
+    io::HttpResponse page_of(const std::string& target) const {
+        const std::string prefix = query(target, "starts");
+        const std::string after = query(target, "after");
+        Json pairs = Json::array();
+        bool more = false;
+        for (const auto& [key, item] : items) {
+            if (!key.starts_with(prefix) || key <= after) continue;
+            more = pairs.size() == page;
+            if (more) break;
+            pairs.push_back({{"path", key}, {"v", item.value}, {"stamp", item.mod_revision}});
         }
-        co_return reply(400);
+        return reply(200, {{"pairs", pairs}, {"hasNext", more}, {"ledger", revision}});
+    }
+    io::HttpResponse read(const std::string& key) const {
+        const auto it = items.find(key);
+        if (it == items.end()) return reply(404, {{"ledger", revision}});
+        return reply(200, {{"path", key}, {"v", it->second.value}, {"stamp", it->second.mod_revision}});
+    }
+    io::Task<io::HttpResponse> treat_transaction(Json transaction) {
+        const Treatment treatment = treat ? treat(transaction) : Treatment::carry_out;
+        if (treatment == Treatment::refuse) co_return reply(503, {{"error", "trouble"}});
+        if (treatment == Treatment::hold) {
+            recorded_attempts.push_back(transaction);
+            co_return reply(500);
+        }
+        auto out = commit(transaction);
+        if (treatment == Treatment::lose_answer) out = reply(500);
+        const io::Micros wait = answer_after ? answer_after(transaction) : io::Micros{0};
+        if (wait.count() > 0) co_await loop_.sleep(wait);
+        co_return out;
+    }
+    io::HttpResponse acquire_lease(const Json& body) {
+        const io::Micros ttl{body["lifeMs"].get<std::int64_t>() * 1000};
+        store_leases_[++last_store_lease_] = {ttl, io::steady_now() + ttl};
+        return reply(200, {{"tenure", last_store_lease_}});
+    }
+    io::HttpResponse renew_lease(std::uint64_t id) {
+        const auto it = store_leases_.find(id);
+        if (it == store_leases_.end()) return reply(404);
+        it->second.expires_at = io::steady_now() + it->second.ttl;
+        return reply(200);
     }
-    std::string exceeds_limits(const Json& t) const {
-        if (t["writes"].size() > transaction_limit)
-            return std::to_string(t["writes"].size()) + " writes: " + t["writes"].dump();
-        if (t["when"].size() / 4 >= transaction_limit && t["when"].size() > 4 * transaction_limit)
-            return std::to_string(t["when"].size()) + " conditions";
-        for (const auto& w : t["writes"]) {
-            if (w.contains("write") && w["v"].dump().size() > value_bytes_limit)
-                return std::to_string(w["v"].dump().size()) + " bytes: " + w["write"].get<std::string>();
+    std::string exceeds_limits(const Json& transaction) const {
+        const Json& writes_wanted = transaction["writes"];
+        const Json& conditions = transaction["when"];
+        if (writes_wanted.size() > transaction_limit)
+            return std::to_string(writes_wanted.size()) + " writes: " + writes_wanted.dump();
+        if (conditions.size() / 4 >= transaction_limit && conditions.size() > 4 * transaction_limit)
+            return std::to_string(conditions.size()) + " conditions";
+        for (const auto& write : writes_wanted) {
+            if (!write.contains("write")) continue;
+            const std::size_t bytes = write["v"].dump().size();
+            if (bytes > value_bytes_limit)
+                return std::to_string(bytes) + " bytes: " + write["write"].get<std::string>();
         }
         return "";
     }
-    io::HttpResponse commit(const Json& t) {
-        if (on_commit) on_commit(t);
-        if (const std::string reason = exceeds_limits(t); !reason.empty()) {
+    io::HttpResponse commit(const Json& transaction) {
+        if (on_commit) on_commit(transaction);
+        if (const std::string reason = exceeds_limits(transaction); !reason.empty()) {
             oversized.push_back(reason);
             return reply(400, {{"error", reason}});
         }
-        Json failed = Json::array();
-        for (const auto& c : t["when"]) {
-            const auto it = items.find(c["path"]);
-            if ((it == items.end() ? 0 : it->second.mod_revision) != c["stamp"].get<std::uint64_t>())
-                failed.push_back(c["path"]);
-        }
-        most_writes = std::max(most_writes, t["writes"].size());
-        for (const auto& w : t["writes"]) {
-            if (w.contains("tenure") && !grants_.contains(w["tenure"].get<std::uint64_t>()))
+        const Json failed = failed_conditions(transaction["when"]);
+        most_writes = std::max(most_writes, transaction["writes"].size());
+        for (const auto& write : transaction["writes"]) {
+            if (write.contains("tenure") && !store_leases_.contains(write["tenure"].get<std::uint64_t>()))
                 return reply(400, {{"error", "no such lease"}});
         }
         if (!failed.empty()) {
             ++conflicts;
             return reply(409, {{"failed", failed}, {"ledger", revision}});
         }
+        carry_out(transaction["writes"]);
+        if (std::exchange(drop_next_commit_answer, false)) return reply(500);
+        return reply(200, {{"ledger", revision}});
+    }
+    Json failed_conditions(const Json& conditions) const {
+        Json failed = Json::array();
+        for (const auto& condition : conditions) {
+            const auto it = items.find(condition["path"]);
+            const std::uint64_t mod_revision = it == items.end() ? 0 : it->second.mod_revision;
+            if (mod_revision != condition["stamp"].get<std::uint64_t>()) failed.push_back(condition["path"]);
+        }
+        return failed;
+    }
+    void carry_out(const Json& writes_wanted) {
         ++revision;
-        writes += t["writes"].size();
-        for (const auto& w : t["writes"]) {
-            if (w.contains("write")) {
-                items[w["write"]] = {w["v"], revision, w.value("tenure", std::uint64_t{0})};
-                log_.push_back({{"write", w["write"]}, {"v", w["v"]}, {"stamp", revision}});
-            } else if (items.erase(w["delete"]) != 0) {
-                log_.push_back({{"delete", w["delete"]}, {"stamp", revision}});
+        writes += writes_wanted.size();
+        for (const auto& write : writes_wanted) {
+            if (write.contains("write")) {
+                items[write["write"]] = {write["v"], revision, write.value("tenure", std::uint64_t{0})};
+                log_.push_back({{"write", write["write"]}, {"v", write["v"]}, {"stamp", revision}});
+            } else if (items.erase(write["delete"]) != 0) {
+                log_.push_back({{"delete", write["delete"]}, {"stamp", revision}});
             }
         }
         changed_.notify_all();
-        if (std::exchange(drop_next_commit_answer, false)) return reply(500);
-        return reply(200, {{"ledger", revision}});
     }
 
     io::Loop& loop_;
     io::Signal changed_;
     io::Scope scope_;
     std::vector<Json> log_;
-    std::map<std::uint64_t, Grant> grants_;
-    std::uint64_t next_grant_ = 0;
+    std::map<std::uint64_t, StoreLease> store_leases_;
+    std::uint64_t last_store_lease_ = 0;
     io::HttpServer server_;
 };
 
-// A worker that runs its tasks for as long as it is told, and checks that no task runs on two of them.
+/// A worker that runs its tasks for a configured time, and checks that no task runs on two of them.
 class WorkerStandIn {
   public:
     struct World {
@@ -328,7 +370,8 @@
           address_(local(free_port())),
           client_(loop),
           began_(io::steady_now()),
-          server_(loop, address_, {}, [this](io::HttpRequest r) { return handle(std::move(r)); }) {
+          server_(loop, address_, {},
+                  [this](io::HttpRequest request) { return handle(std::move(request)); }) {
         scope_.spawn(server_.serve());
         scope_.spawn(report());
         scope_.spawn(run());
@@ -340,14 +383,14 @@
     io::Address address() const { return address_; }
     const std::string& zone() const { return zone_; }
     std::uint64_t fencing_token() const { return fencing_token_; }
-    std::size_t home() const { return at_ % nodes_.size(); }  // the node that it reports to
+    std::size_t home() const { return at_ % nodes_.size(); }  // the controller that gets its heartbeats
     bool hung = false;
-    bool deaf = false;         // its reports arrive, but neither answers nor orders reach it
+    bool deaf = false;         // its heartbeats arrive, but neither answers nor commands reach it
     bool hold_orders = false;  // requests are kept, and get no answer
     std::vector<Json> recorded_attempts;
     Json last_report;
     std::uint64_t incarnation() const { return session_; }
-    // A copy of orders arrives late.
+    // A duplicate of a command request arrives late.
     bool late_orders(const Json& b) {
         if (b["baton"].get<std::uint64_t>() < fencing_token_ || b["stint"] != session_) return false;
         execute(b["calls"]);
@@ -481,63 +524,73 @@
     io::HttpServer server_;
 };
 
+/// The cloud, with one machine type and room for a few instances; it fills a request once, and starts a
+/// worker for it.
 class CloudStandIn {
   public:
     using MakeWorker = std::function<std::unique_ptr<WorkerStandIn>(std::string id, std::string zone)>;
     CloudStandIn(io::Loop& loop, MakeWorker make)
         : address(local(free_port())),
           make_(std::move(make)),
-          server_(loop, address, {}, [this](io::HttpRequest r) { return handle(std::move(r)); }) {
+          server_(loop, address, {}, [this](io::HttpRequest request) { return handle(std::move(request)); }) {
         scope_.spawn(server_.serve());
     }
     const io::Address address;
     std::map<std::string, std::unique_ptr<WorkerStandIn>> workers;
-    std::set<std::string> asks;
     double cores = 4.0;  // of the only machine type, as the catalog says
 
   private:
-    io::Task<io::HttpResponse> handle(io::HttpRequest q) {
-        const auto b = wire::decode(q.body);
-        if (q.target == "/catalog") {
-            co_return reply(200, {{"builds",
-                                   {{{"name", "c4"},
-                                     {"cores", cores},
-                                     {"accelerators", 0.0},
-                                     {"memGb", 16.0},
-                                     {"localGb", 20.0},
-                                     {"fetchGbPerS", 1.0},
-                                     {"price", 0.2},
-                                     {"marketPrice", 0.1},
-                                     {"startupS", 1.0},
-                                     {"roosts", {"a", "b"}}}}}});
-        }
-        if (q.target == "/rentals" && q.method == "POST") {
-            if (!asks.insert((*b)["ask"]).second) co_return reply(503, {{"error", "no capacity"}});
-            if (workers.size() >= 8 || (*b)["borrowed"].get<bool>())
-                co_return reply(503, {{"error", "no capacity"}});
-            char id[16];
-            std::snprintf(id, sizeof id, "n-%06d", ++last_);
-            workers[id] = make_(id, (*b)["roost"]);
-            co_return reply(200, {{"perches", {id}}});
-        }
-        if (q.target == "/rentals/release") {
-            for (const auto& m : (*b)["perches"]) workers.erase(m.get<std::string>());
+    static constexpr std::size_t kMostInstances = 8;
+
+    io::Task<io::HttpResponse> handle(io::HttpRequest request) {
+        const auto body = wire::decode(request.body);
+        if (request.target == "/catalog") co_return catalog();
+        if (request.target == "/rentals" && request.method == "POST") co_return start_instance(*body);
+        if (request.target == "/rentals/release") {
+            for (const auto& machine : (*body)["perches"]) workers.erase(machine.get<std::string>());
             co_return reply(200);
         }
+        co_return inventory();
+    }
+    io::HttpResponse catalog() const {
+        return reply(200, {{"builds",
+                            {{{"name", "c4"},
+                              {"cores", cores},
+                              {"accelerators", 0.0},
+                              {"memGb", 16.0},
+                              {"localGb", 20.0},
+                              {"fetchGbPerS", 1.0},
+                              {"price", 0.2},
+                              {"marketPrice", 0.1},
+                              {"startupS", 1.0},
+                              {"roosts", {"a", "b"}}}}}});
+    }
+    io::HttpResponse start_instance(const Json& request) {
+        const bool repeated = !filled_requests_.insert(request["ask"]).second;
+        if (repeated || workers.size() >= kMostInstances || request["borrowed"].get<bool>())
+            return reply(503, {{"error", "no capacity"}});
+        const std::string number = std::to_string(++last_);
+        const std::string id = "n-" + std::string(6 - std::min<std::size_t>(6, number.size()), '0') + number;
+        workers[id] = make_(id, request["roost"]);
+        return reply(200, {{"perches", {id}}});
+    }
+    io::HttpResponse inventory() const {
         Json list = Json::array();
-        for (const auto& [id, w] : workers) {
+        for (const auto& [id, worker] : workers) {
             list.push_back({{"id", id},
-                            {"address", text_of(w->address())},
+                            {"address", text_of(worker->address())},
                             {"build", "c4"},
-                            {"roost", w->zone()},
+                            {"roost", worker->zone()},
                             {"borrowed", false},
                             {"status", "running"},
                             {"heldS", 5.0}});
         }
-        co_return reply(200, {{"perches", list}, {"hasNext", false}});
+        return reply(200, {{"perches", list}, {"hasNext", false}});
     }
+
     MakeWorker make_;
-    int last_ = 0;
+    std::set<std::string> filled_requests_;
+    int last_ = 0;  // number of the last instance
     io::Scope scope_;
     io::HttpServer server_;
 };
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,10 +1,12 @@
-// Builders shared by the tests.
+/// Builders shared by the tests of decisions: jobs, machines, heartbeats and small clusters. Times are of one
+/// clock that starts at an arbitrary value and stands still unless the test moves it.
 #pragma once
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
 #include <string>
+#include <utility>
 
 #include "core/cluster_view.hpp"
 #include "core/drain_planner.hpp"
@@ -14,127 +16,199 @@
 
 namespace hatchwind::test {
 
-// Runs a rapidcheck property inside a gtest case; the seed comes from RC_PARAMS, so every run is the same.
-template <typename F>
-void holds(const std::string& what, F&& f) {
-    EXPECT_TRUE(rc::check(what, std::forward<F>(f)));
+/// Runs a RapidCheck property inside a GoogleTest case; the seed comes from RC_PARAMS, so every run is the
+/// same.
+template <typename Property>
+void holds(const std::string& description, Property&& property) {
+    EXPECT_TRUE(rc::check(description, std::forward<Property>(property)));
 }
 
+/// An ordinary job array; each task needs as many gigabytes as CPUs and may run on spot instances.
 inline core::Job job(const std::string& id, const std::string& team, std::uint32_t tasks, double cpus) {
-    core::Job j;
-    j.id = id;
-    j.job_class = "c";
-    j.team = team;
-    j.tasks = tasks;
-    j.resources = {cpus, 0, cpus};
-    j.image = "img";
-    j.image_gb = 1;
-    j.estimate_s = 30;
-    j.spot = true;
-    j.accepted = core::Micros{1'000'000};
-    return j;
+    core::Job built;
+    built.id = id;
+    built.job_class = "c";
+    built.team = team;
+    built.tasks = tasks;
+    built.resources = {cpus, 0, cpus};
+    built.image = "img";
+    built.image_gb = 1;
+    built.estimate_s = 30;
+    built.spot = true;
+    built.accepted = core::Micros{1'000'000};
+    return built;
 }
 
+/// Machine types "small" with 4 CPUs and "big" with 16, both in the zones "a" and "b".
 inline core::Catalog catalog() {
-    core::Catalog c;
+    core::Catalog types;
     for (const auto& [name, cpus, price] : {std::tuple{"small", 4.0, 0.2}, std::tuple{"big", 16.0, 0.8}}) {
-        core::MachineType t;
-        t.name = name;
-        t.size = {cpus, 0, cpus * 4};
-        t.cache_gb = 20;
-        t.price = price;
-        t.spot_price = price / 3;
-        t.boot = core::Micros{20'000'000};
-        t.zones = {"a", "b"};
-        c[name] = t;
+        core::MachineType type;
+        type.name = name;
+        type.size = {cpus, 0, cpus * 4};
+        type.cache_gb = 20;
+        type.price = price;
+        type.spot_price = price / 3;
+        type.boot = core::Micros{20'000'000};
+        type.zones = {"a", "b"};
+        types[name] = type;
     }
-    return c;
+    return types;
 }
 
-inline core::WorkerHeartbeat report(const std::string& machine, const std::string& type,
-                                    const std::string& zone, bool spot = false) {
-    core::WorkerHeartbeat r;
-    r.machine = machine;
-    r.address = "127.0.0.1:1";
-    r.type = type;
-    r.zone = zone;
-    r.spot = spot;
-    r.incarnation = 1;
-    r.heartbeat_sequence = 1;
-    r.fencing_token = 1;
-    return r;
+/// The first heartbeat of a machine without tasks.
+inline core::WorkerHeartbeat heartbeat(const std::string& machine, const std::string& type,
+                                       const std::string& zone, bool spot = false) {
+    core::WorkerHeartbeat built;
+    built.machine = machine;
+    built.address = "127.0.0.1:1";
+    built.type = type;
+    built.zone = zone;
+    built.spot = spot;
+    built.incarnation = 1;
+    built.heartbeat_sequence = 1;
+    built.fencing_token = 1;
+    return built;
 }
 
-// A small cluster drawn at random: machines, jobs, some of their tasks running.
+/// An attempt as a heartbeat lists it.
+inline core::TaskStatus task_status(const std::string& job, std::uint32_t task, std::uint64_t attempt,
+                                    core::TaskState state = core::TaskState::running) {
+    core::TaskStatus status;
+    status.job = job;
+    status.task = task;
+    status.attempt = attempt;
+    status.state = state;
+    return status;
+}
+
+/// What one controller knows that owns the shards of all teams.
 struct Cluster {
     core::Catalog types = catalog();
     std::map<std::string, core::Team> teams;
     std::vector<core::Objective> objectives;
     core::JobTable job_table;
     core::ClusterView cluster_view;
-    core::Micros now{100'000'000};
+    core::Micros now{100'000'000};  ///< of both clocks
 
-    core::FreeCapacity free_capacity(const core::Availability* a = nullptr) const {
+    /// Of all machines, with those unresponsive that sent no heartbeat for 10 s; or with that availability.
+    core::FreeCapacity free_capacity(const core::Availability* availability = nullptr) const {
         core::Availability plain;
         plain.now = now;
         plain.silent_after = core::Micros{10'000'000};
-        return core::FreeCapacity::build(cluster_view, job_table, types, a == nullptr ? plain : *a);
+        return core::FreeCapacity::build(cluster_view, job_table, types,
+                                         availability == nullptr ? plain : *availability);
     }
 };
 
-inline Cluster draw_cluster() {
-    Cluster c;
-    c.teams["x"] = {"x", 8, 24, 0, 0};
-    c.teams["y"] = {"y", 16, 40, 0, 0};
-    const int machines = *rc::gen::inRange(1, 9);
-    std::map<std::string, core::WorkerHeartbeat> reports;
-    std::map<std::string, core::Resources> free;
-    for (int i = 0; i < machines; ++i) {
-        const std::string id = "n-" + std::to_string(100 + i);
-        const bool big = *rc::gen::inRange(0, 3) == 0;
-        reports[id] = report(id, big ? "big" : "small", *rc::gen::inRange(0, 2) == 0 ? "a" : "b",
-                             *rc::gen::inRange(0, 2) == 0);
-        free[id] = c.types.at(reports[id].type).size;
+/// A placement pass over all teams of the cluster, which has to outlive it; so has `pipelines`, if given.
+inline core::PlacementInput placement_input(const Cluster& cluster,
+                                            const core::PipelineSchedule* pipelines = nullptr) {
+    core::PlacementInput input;
+    input.job_table = &cluster.job_table;
+    input.cluster_view = &cluster.cluster_view;
+    input.teams = &cluster.teams;
+    input.objectives = &cluster.objectives;
+    input.pipelines = pipelines;
+    for (const auto& [name, team] : cluster.teams) input.own_teams.insert(name);
+    input.now = cluster.now;
+    input.wall_clock_now = cluster.now;
+    return input;
+}
+
+/// A plan of the leader for the cluster, which has to outlive it; so has `pipelines`, if given.
+inline core::ScaleOutInput scale_out_input(const Cluster& cluster,
+                                           const core::PipelineSchedule* pipelines = nullptr) {
+    core::ScaleOutInput input;
+    input.job_table = &cluster.job_table;
+    input.cluster_view = &cluster.cluster_view;
+    input.catalog = &cluster.types;
+    input.teams = &cluster.teams;
+    input.objectives = &cluster.objectives;
+    input.pipelines = pipelines;
+    input.now = cluster.now;
+    input.wall_clock_now = cluster.now;
+    return input;
+}
+
+/// Draws a small cluster: machines, jobs, and some of their tasks running within every rule of placement.
+class ClusterGenerator {
+  public:
+    Cluster draw() {
+        cluster_.teams["x"] = {"x", 8, 24, 0, 0};
+        cluster_.teams["y"] = {"y", 16, 40, 0, 0};
+        const int machines = *rc::gen::inRange(1, 9);
+        for (int i = 0; i < machines; ++i) draw_machine("n-" + std::to_string(100 + i));
+        const int jobs = *rc::gen::inRange(0, 8);
+        for (int i = 0; i < jobs; ++i) draw_tasks_of(draw_job("req-" + std::to_string(i)));
+        for (const auto& [id, machine] : machines_)
+            cluster_.cluster_view.apply(machine.heartbeat, cluster_.now, cluster_.now);
+        return std::move(cluster_);
     }
-    const int jobs = *rc::gen::inRange(0, 8);
-    core::Revision mod_revision = 0;
-    for (int k = 0; k < jobs; ++k) {
-        auto j = job("req-" + std::to_string(k), *rc::gen::inRange(0, 2) == 0 ? "x" : "y",
-                     static_cast<std::uint32_t>(*rc::gen::inRange(1, 7)), *rc::gen::element(1.0, 2.0, 4.0));
-        j.kind = *rc::gen::inRange(0, 3) == 0 ? core::JobKind::service : core::JobKind::array;
-        j.priority = static_cast<core::Priority>(*rc::gen::inRange(0, 4));
-        j.spread = *rc::gen::inRange(0, 3) == 0;
-        j.one_zone = !j.spread && *rc::gen::inRange(0, 4) == 0;
-        j.spot = *rc::gen::inRange(0, 2) == 0;
-        c.job_table.put_job(j, ++mod_revision);
+
+  private:
+    struct Machine {
+        core::WorkerHeartbeat heartbeat;
+        core::Resources free;
+    };
+
+    void draw_machine(const std::string& id) {
+        const std::string type = *rc::gen::inRange(0, 3) == 0 ? "big" : "small";
+        const bool spot = *rc::gen::inRange(0, 2) == 0;
+        const std::string zone = *rc::gen::inRange(0, 2) == 0 ? "a" : "b";
+        machines_[id] = {heartbeat(id, type, zone, spot), cluster_.types.at(type).size};
+    }
+
+    core::Job draw_job(const std::string& id) {
+        const double cpus = *rc::gen::element(1.0, 2.0, 4.0);
+        const auto tasks = static_cast<std::uint32_t>(*rc::gen::inRange(1, 7));
+        const std::string team = *rc::gen::inRange(0, 2) == 0 ? "x" : "y";
+        core::Job drawn = job(id, team, tasks, cpus);
+        drawn.kind = *rc::gen::inRange(0, 3) == 0 ? core::JobKind::service : core::JobKind::array;
+        drawn.priority = static_cast<core::Priority>(*rc::gen::inRange(0, 4));
+        drawn.spread = *rc::gen::inRange(0, 3) == 0;
+        drawn.one_zone = !drawn.spread && *rc::gen::inRange(0, 4) == 0;
+        drawn.spot = *rc::gen::inRange(0, 2) == 0;
+        cluster_.job_table.put_job(drawn, ++revision_);
+        return drawn;
+    }
+
+    void draw_tasks_of(const core::Job& job) {
         core::Chunk chunk;
         core::ZoneUse zones;
-        for (std::uint32_t t = 0; t < j.tasks; ++t) {
+        for (std::uint32_t task = 0; task < job.tasks; ++task) {
             if (*rc::gen::inRange(0, 2) == 0) continue;
-            for (auto& [id, r] : reports) {
-                const bool allowed =
-                    (j.spot || !r.spot) && zones.allows(j, r.zone) && j.resources.fits_in(free[id]);
-                core::Resources use = c.job_table.team_use(j.team);
-                use += j.resources * static_cast<double>(chunk.open.size() + 1);
-                if (!allowed || use.cpus > c.teams[j.team].cpus_max) continue;
-                free[id] -= j.resources;
-                zones.add(r.zone);
-                chunk.open[t] = {1, id, 1};
-                chunk.last_attempt = 1;
-                core::TaskStatus tr;
-                tr.job = j.id;
-                tr.task = t;
-                tr.attempt = 1;
-                tr.state = core::TaskState::running;
-                r.tasks.push_back(tr);
-                break;
-            }
+            run_where_allowed(job, task, chunk, zones);
         }
-        chunk.mod_revision = ++mod_revision;
-        if (!chunk.open.empty()) c.job_table.put_chunk(j.id, 0, chunk);
+        chunk.mod_revision = ++revision_;
+        if (!chunk.open.empty()) cluster_.job_table.put_chunk(job.id, 0, chunk);
     }
-    for (const auto& [id, r] : reports) c.cluster_view.apply(r, c.now, c.now);
-    return c;
-}
+
+    void run_where_allowed(const core::Job& job, std::uint32_t task, core::Chunk& chunk,
+                           core::ZoneUse& zones) {
+        core::Resources team_use = cluster_.job_table.team_use(job.team);
+        team_use += job.resources * static_cast<double>(chunk.open.size() + 1);
+        if (team_use.cpus > cluster_.teams[job.team].cpus_max) return;
+        for (auto& [id, machine] : machines_) {
+            const bool allowed = (job.spot || !machine.heartbeat.spot) &&
+                                 zones.allows(job, machine.heartbeat.zone) &&
+                                 job.resources.fits_in(machine.free);
+            if (!allowed) continue;
+            machine.free -= job.resources;
+            zones.add(machine.heartbeat.zone);
+            chunk.open[task] = {1, id, 1};
+            chunk.last_attempt = 1;
+            machine.heartbeat.tasks.push_back(task_status(job.id, task, 1));
+            return;
+        }
+    }
+
+    Cluster cluster_;
+    std::map<std::string, Machine> machines_;
+    core::Revision revision_ = 0;
+};
+
+/// Within a RapidCheck property: a cluster of ClusterGenerator.
+inline Cluster draw_cluster() { return ClusterGenerator().draw(); }
 
 }  // namespace hatchwind::test
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -104,7 +104,7 @@
         const auto message = read_frame(from_hex(recorded.bytes));
         ASSERT_TRUE(message) << recorded.bytes;
         EXPECT_EQ(message->index(), recorded.message.index());
-        // Compared as frames: a report has no equality of its own.
+        // Compared as frames: a worker status update has no equality of its own.
         EXPECT_EQ(wire::encode_frame(*message), wire::encode_frame(recorded.message)) << recorded.bytes;
     }
 }
@@ -119,7 +119,7 @@
 
 TEST(MixedVersions, OnlyKindsOfFramesThatProductionKnowsAreSent) {
     // Production ends the connection at a hello of another version and at kinds above 8. A kind added here
-    // may go only to nodes that have announced that they know it.
+    // may go only to controllers that have announced that they know it.
     constexpr std::size_t kProductionKinds = 8;
     EXPECT_EQ(wire::kPeerProtocolVersion, 3U);
     EXPECT_EQ(std::variant_size_v<PeerMessage>, kProductionKinds);
@@ -382,7 +382,7 @@
     }
 }
 
-// Restarts nodes in the order given; each is killed once more while it starts.
+// Restarts controllers in the order given; each is killed once more while it starts.
 Task<void> restart_in_order(Site& site, std::vector<std::size_t> order, std::size_t at_once) {
     for (std::size_t first = 0; first < order.size(); first += at_once) {
         const std::size_t end = std::min(order.size(), first + at_once);
