--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -498,6 +498,7 @@
     StateWorld w(limits);
     std::vector<std::shared_ptr<StoreClient::Answer>> answers;
     w.world.run_for(seconds(2));
+    answers.reserve(30);
     for (int i = 0; i < 30; ++i) answers.push_back(w.one.send("GET", "/store/k"));
     w.world.run_for(seconds(0.1));
     const auto refused =
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -25,6 +25,7 @@
             *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 500)));
         const double capacity = *rc::gen::inRange(1, 1000);
         std::vector<double> demands;
+        demands.reserve(tenths.size());
         for (const int demand : tenths) demands.push_back(demand / 10.0);
         const auto shares = all_shares(demands, capacity);
         const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
--- a/tests/peer_protocol_test.cpp
+++ b/tests/peer_protocol_test.cpp
@@ -10,6 +10,7 @@
 std::vector<wire::CancellationNotice> draw_cancels() {
     std::vector<wire::CancellationNotice> cancellations;
     const int count = *rc::gen::inRange(0, 4);
+    cancellations.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i) {
         cancellations.push_back({*rc::gen::arbitrary<std::string>(), *rc::gen::arbitrary<std::uint64_t>(),
                                  *rc::gen::arbitrary<std::int64_t>()});
