--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,5 +1,5 @@
-// The emulator's own promises: repeatable runs, hosts that freeze and fall silent, one-way cuts, and a state
-// service that behaves as PROTOCOL says.
+// What the simulator guarantees: repeatable runs, hosts that freeze and stop answering, one-way partitions,
+// and a state service that behaves as PROTOCOL says.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -59,7 +59,7 @@
     return options;
 }
 
-// A server that answers with what it got, and a client that asks once a tenth of a second.
+// A server that answers with what it got, and a client that sends a request each tenth of a second.
 struct EchoServer {
     explicit EchoServer(Host& host)
         : server(host.loop(), host.address(80), {},
@@ -499,6 +499,7 @@
     StateWorld w(limits);
     std::vector<std::shared_ptr<StoreClient::Answer>> answers;
     w.world.run_for(seconds(2));
+    answers.reserve(30);
     for (int i = 0; i < 30; ++i) answers.push_back(w.one.send("GET", "/store/k"));
     w.world.run_for(seconds(0.1));
     const auto refused =
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -180,7 +180,7 @@
     EXPECT_EQ(failure(v), "endpoints: found 1, allowed is an object");
 }
 
-// Submissions once waited behind the node's own group commits for a share of the store's limit.
+// Submissions once waited behind the controller's own group commits for a share of the store's limit.
 TEST(TokenBucket, UsersGoAheadOfTheControllersOwnWritesWithinLimits) {
     using core::Micros;
     controller::TokenBucket b{10, 10};
@@ -212,8 +212,12 @@
         const auto word = rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
         const auto pairs = *rc::gen::container<std::map<std::string, std::string>>(word, word);
         std::string text;
-        for (const auto& [k, v] : pairs)
-            text += k + *rc::gen::element<std::string>("=", " = ", ": ", " ") + v + "\n";
+        for (const auto& [key, value] : pairs) {
+            text += key;
+            text += *rc::gen::element<std::string>("=", " = ", ": ", " ");
+            text += value;
+            text += '\n';
+        }
         RC_ASSERT(controller::parse_properties(text) == pairs);
     });
     test::holds("any text ends in values or in one error", [](const std::string& text) {
