--- a/src/store/final_state_reader.cpp
+++ b/src/store/final_state_reader.cpp
@@ -23,6 +23,16 @@
     --key.back();
     return key + '~';
 }
+
+// False when the final state of a job that is wanted can't be decoded.
+bool cache_if_wanted(const wire::StoreItem& item, const std::vector<std::string>& sorted_jobs,
+                     FinalStateCache& cache) {
+    const std::string job = item.key.substr(keys::kFinalPrefix.size());
+    if (!item.value || !std::binary_search(sorted_jobs.begin(), sorted_jobs.end(), job)) return true;
+    const auto state = wire::parse_final_record(*item.value);
+    if (state) cache.insert(job, *state);
+    return state.has_value();
+}
 }  // namespace
 
 // What the concurrent readers of one call share.
@@ -67,14 +77,8 @@
 
 bool FinalStateReader::cache_wanted(const wire::StorePage& page,
                                     const std::vector<std::string>& sorted_jobs) {
-    for (const auto& item : page.items) {
-        const std::string job = item.key.substr(keys::kFinalPrefix.size());
-        if (!item.value || !std::binary_search(sorted_jobs.begin(), sorted_jobs.end(), job)) continue;
-        const auto state = wire::parse_final_record(*item.value);
-        if (!state) return false;
-        cache_.insert(job, *state);
-    }
-    return true;
+    return std::all_of(page.items.begin(), page.items.end(),
+                       [&](const auto& item) { return cache_if_wanted(item, sorted_jobs, cache_); });
 }
 
 Task<std::optional<core::Revision>> FinalStateReader::read_pages(std::vector<std::string> jobs,
