--- a/src/io/task.hpp
+++ b/src/io/task.hpp
@@ -27,8 +27,7 @@
 ///  - an aggregate made in the argument list (`co_await f({a, b})`) and passed by value is destroyed twice;
 ///  - so are the captures of a lambda that is made and called in the `co_await` expression;
 ///  - where the `co_await` is the condition of an `if`, `while` or `switch` and the call makes a temporary
-///  with a
-///    destructor, the coroutine goes astray: neither branch runs.
+///    with a destructor, neither branch runs.
 /// The two-step form avoids all of them, and is used wherever a call takes arguments that own something. A
 /// `co_await` is never written inside a condition: its result gets a name first.
 #pragma once
