--- a/src/api/dependency_admission.cpp
+++ b/src/api/dependency_admission.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "store/store_keys.hpp"
+#include "wire/cbor.hpp"
 #include "wire/records.hpp"
 #include "wire/store_api.hpp"
 
@@ -25,8 +26,6 @@
 constexpr std::size_t kMaxTransactionBytes = 48U << 10U;
 constexpr std::size_t kMaxPartBytes = 16U << 10U;
 
-std::size_t json_bytes(const wire::Json& value) { return value.dump().size(); }
-
 // A hash (FNV-1a) of the list, the same whichever controller takes the submission: repeats write the same
 // records.
 std::string list_name(const std::vector<std::string>& ids) {
@@ -169,7 +168,7 @@
     job.team_once_released = job.team;
     job.team = core::kWaitingTeam;
     std::vector<std::string> submitted = std::exchange(job.dependencies, std::move(unfinished));
-    if (json_bytes(wire::job_record(job)) <= settings_.value_bytes()) co_return DependencyStatus::wait;
+    if (wire::json_bytes(wire::job_record(job)) <= settings_.value_bytes()) co_return DependencyStatus::wait;
     // The list as submitted, so that each repeat writes the same records and continues where the last one
     // ended.
     job.dependencies = std::move(submitted);
@@ -199,7 +198,7 @@
         for (; next < missing.size() && batch.effects.size() < settings_.txn_ops; ++next) {
             const std::uint32_t part = missing[next];
             wire::Json record = wire::job_ids_record(parts[part]);
-            batch.bytes += json_bytes(record);
+            batch.bytes += wire::json_bytes(record);
             if (!batch.effects.empty() && batch.bytes > kMaxTransactionBytes) break;
             batch.add(keys::dependency_part(job.id, job.dependency_list, part), std::move(record));
         }
--- a/src/api/user_api.cpp
+++ b/src/api/user_api.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "api/user_responses.hpp"
+#include "io/scoped_count.hpp"
 #include "wire/identifiers.hpp"
 #include "wire/user_api.hpp"
 
@@ -108,7 +109,7 @@
     if (!wire::is_job_id(id)) co_return plain_response(http_status::kNotFound);
     if (const FinalState* state = context_.final_states.known(id)) co_return final_state_response(id, *state);
     if (polls_under_way_ >= kMaxPollsUnderWay) co_return retry_later(http_status::kTooManyRequests);
-    const RequestCount counted{polls_under_way_};
+    const io::ScopedCount counted{polls_under_way_};
     if (!is_ready()) co_return retry_later();
     auto describing = current_state(std::move(id), steady_now() + kPollTime);
     JobDescription description = co_await std::move(describing);
--- a/src/api/user_api_cancel.cpp
+++ b/src/api/user_api_cancel.cpp
@@ -4,7 +4,9 @@
 
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
+#include "io/scoped_count.hpp"
 #include "store/store_keys.hpp"
+#include "wire/cbor.hpp"
 #include "wire/identifiers.hpp"
 #include "wire/records.hpp"
 #include "wire/store_api.hpp"
@@ -31,7 +33,7 @@
     // What a waiting job depended on does not matter any more.
     job.dependencies.clear();
     job.dependency_parts = 0;
-    if (wire::job_record(job).dump().size() <= max_record_bytes) return job;
+    if (wire::json_bytes(wire::job_record(job)) <= max_record_bytes) return job;
     // Accepted under larger limits. Nothing of a cancelled job is placed any more.
     job.types.reset();
     job.image.clear();
@@ -54,7 +56,7 @@
     if (const FinalState* ended = context_.final_states.known(id))
         co_return cbor_response(http_status::kOk, wire::job_answer(id, ended->status));
     if (writes_under_way_ >= kMaxWritesUnderWay) co_return retry_later(http_status::kTooManyRequests);
-    const RequestCount counted{writes_under_way_};
+    const io::ScopedCount counted{writes_under_way_};
     if (!is_ready()) co_return retry_later();
     const Micros deadline = steady_now() + kCancelTime;
     for (int attempt = 0; attempt < kMaxCommitAttempts; ++attempt) {
--- a/src/api/user_api_submit.cpp
+++ b/src/api/user_api_submit.cpp
@@ -4,6 +4,7 @@
 #include "api/feasibility.hpp"
 #include "api/user_api.hpp"
 #include "api/user_responses.hpp"
+#include "io/scoped_count.hpp"
 #include "store/store_keys.hpp"
 #include "wire/identifiers.hpp"
 #include "wire/records.hpp"
@@ -43,7 +44,7 @@
 Task<HttpResponse> UserApi::submit(io::HttpRequest request) {
     if (request.body_too_large) co_return plain_response(http_status::kBadRequest);
     if (writes_under_way_ >= kMaxWritesUnderWay) co_return retry_later(http_status::kTooManyRequests);
-    const RequestCount counted{writes_under_way_};
+    const io::ScopedCount counted{writes_under_way_};
     const auto body = submission_body(request);
     if (!body) co_return plain_response(http_status::kBadRequest);
     auto parsed = wire::parse_submission(*body);
--- a/src/api/user_responses.hpp
+++ b/src/api/user_responses.hpp
@@ -1,7 +1,6 @@
-/// Responses to users, and the count of their requests under way.
+/// Responses to users.
 #pragma once
 
-#include <cstddef>
 #include <string>
 
 #include "io/http_responses.hpp"
@@ -21,16 +20,4 @@
     return cbor_response(io::http_status::kOk, wire::job_answer(id, state.status, state.done, 0));
 }
 
-/// Counts a request as under way for as long as it lives.
-class RequestCount {
-  public:
-    explicit RequestCount(std::size_t& count) : count_(count) { ++count_; }
-    ~RequestCount() { --count_; }
-    RequestCount(const RequestCount&) = delete;
-    RequestCount& operator=(const RequestCount&) = delete;
-
-  private:
-    std::size_t& count_;
-};
-
 }  // namespace hatchwind::controller
--- a/src/core/scale_out_planner.cpp
+++ b/src/core/scale_out_planner.cpp
@@ -15,12 +15,9 @@
 constexpr double kUnknownTaskSeconds = 60;
 // An array's task never counts as shorter than this.
 constexpr double kLeastTaskSeconds = 1;
-constexpr double kMicrosPerSecond = 1e6;
 // Keeps the price for each used CPU finite for tasks that request none.
 constexpr double kLeastUsedCpus = 1e-3;
 
-double to_seconds(Micros duration) { return static_cast<double>(duration.count()) / kMicrosPerSecond; }
-
 // The estimate is the user's and may be missing.
 double task_seconds(const Job& job) { return job.estimate_s > 0 ? job.estimate_s : kUnknownTaskSeconds; }
 
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -11,10 +11,17 @@
 /// A duration, or a point of either clock as the time since that clock's start. Microseconds.
 using Micros = std::chrono::microseconds;
 
+/// For the arithmetic of rates, which is done in `double`.
+inline constexpr double kMicrosPerSecond = 1e6;
+
 /// Settings and wire messages give durations in seconds; what is less than a microsecond is cut off.
 constexpr Micros from_seconds(double seconds) {
-    constexpr double kMicrosPerSecond = 1e6;
     return Micros{static_cast<std::int64_t>(seconds * kMicrosPerSecond)};
 }
 
+/// A duration in seconds.
+constexpr double to_seconds(Micros duration) {
+    return static_cast<double>(duration.count()) / kMicrosPerSecond;
+}
+
 }  // namespace hatchwind::core
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -13,8 +13,8 @@
 constexpr std::array<std::string_view, 5> kKindNames{"open", "opened", "data", "end", "reset"};
 }  // namespace
 
-io::Task<io::Result<io::Socket, io::IoError>> HostNetwork::connect(io::Loop& /*loop*/, io::Address to,
-                                                                   Micros deadline) {
+io::Task<base::Result<io::Socket, io::IoError>> HostNetwork::connect(io::Loop& /*loop*/, io::Address to,
+                                                                     Micros deadline) {
     auto connection = std::make_shared<Connection>();
     connection->hosts = {&host_, network_.world_.find_host(to.ip)};
     connection->to = to;
--- a/src/emulator/network.hpp
+++ b/src/emulator/network.hpp
@@ -60,8 +60,8 @@
 class HostNetwork final : public io::Transport {
   public:
     HostNetwork(Network& network, Host& host) : network_(network), host_(host) {}
-    io::Task<io::Result<io::Socket, io::IoError>> connect(io::Loop& loop, io::Address to,
-                                                          io::Micros deadline) override;
+    io::Task<base::Result<io::Socket, io::IoError>> connect(io::Loop& loop, io::Address to,
+                                                            io::Micros deadline) override;
     std::unique_ptr<io::Acceptor> listen(io::Loop& loop, io::Address at) override;
 
   private:
--- a/src/emulator/random.hpp
+++ b/src/emulator/random.hpp
@@ -9,6 +9,8 @@
 #include <random>
 #include <string_view>
 
+#include "core/time.hpp"
+
 namespace hatchwind::emulator {
 
 using Micros = std::chrono::microseconds;
@@ -16,7 +18,7 @@
 /// Seconds as whole microseconds.
 inline Micros from_seconds(double seconds) { return Micros{std::llround(seconds * 1e6)}; }
 /// Microseconds as seconds, for figures and wire fields.
-inline double to_seconds(Micros time) { return static_cast<double>(time.count()) / 1e6; }
+using core::to_seconds;
 
 /// Log-normal distribution given as users speak of it: median, 95th percentile, and the largest value.
 struct LogNormal {
--- a/src/emulator/store.cpp
+++ b/src/emulator/store.cpp
@@ -13,8 +13,6 @@
 constexpr std::size_t kMostListed = 1000;
 constexpr std::size_t kMostListedBytes = std::size_t{512} * 1024;
 
-std::size_t json_bytes(const Json& value) { return value.dump().size(); }
-
 bool valid_key(const Json& map, const char* field) {
     const auto found = map.find(field);
     if (found == map.end() || !found->is_string()) return false;
@@ -62,12 +60,13 @@
         !std::all_of(writes.begin(), writes.end(), valid_write))
         return malformed("malformed");
     if (writes.size() > limits.writes || conditions.size() > 4 * limits.writes) return malformed("too many");
-    const auto bytes = static_cast<double>(json_bytes(request));
+    const auto bytes = static_cast<double>(wire::json_bytes(request));
     if (bytes > limits.transaction_kb * 1024) return malformed("too large");
     // Values are parts of the whole: one that is small enough holds none that is too large.
     const double most = limits.value_kb * 1024;
     for (const Json& write : writes) {
-        if (bytes > most && write.contains("write") && static_cast<double>(json_bytes(write["v"])) > most)
+        if (bytes > most && write.contains("write") &&
+            static_cast<double>(wire::json_bytes(write["v"])) > most)
             return malformed("value too large");
     }
     for (const Json& write : writes) {
@@ -111,7 +110,7 @@
     auto at = after >= prefix && !after.empty() ? items_.upper_bound(after) : items_.lower_bound(prefix);
     for (; at != items_.end() && at->first.starts_with(prefix); ++at) {
         Json pair{{"path", at->first}, {"v", at->second.value}, {"stamp", at->second.mod_revision}};
-        bytes += json_bytes(pair);
+        bytes += wire::json_bytes(pair);
         if (pairs.size() == std::min(most, kMostListed) || (bytes > kMostListedBytes && !pairs.empty())) {
             more = true;
             break;
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -73,7 +73,7 @@
     pool.push_back(std::prev(idle_.end()));
 }
 
-Task<Result<std::optional<Socket>, HttpError>> HttpClient::acquire(Address to, Micros deadline) {
+Task<base::Result<std::optional<Socket>, HttpError>> HttpClient::acquire(Address to, Micros deadline) {
     std::optional<Socket> socket = take_idle(to);
     // One bound for what is in use and what is idle: with an idle connection to each worker of a large fleet
     // there would be none left for those that are due.
@@ -89,8 +89,8 @@
     co_return socket;
 }
 
-Task<Result<void, HttpError>> HttpClient::exchange(Socket& socket, std::string_view request,
-                                                   HttpMessageParser& response, Micros deadline) {
+Task<base::Result<void, HttpError>> HttpClient::exchange(Socket& socket, std::string_view request,
+                                                         HttpMessageParser& response, Micros deadline) {
     const auto written = co_await socket.write(request, deadline);
     if (!written) co_return http_error(written.error());
     std::array<char, kReadBufferBytes> buffer;
@@ -103,7 +103,7 @@
         if (*received == 0) co_return HttpError::connection_lost;
         if (response.is_malformed()) co_return HttpError::malformed_response;
     }
-    co_return Result<void, HttpError>{};
+    co_return base::Result<void, HttpError>{};
 }
 
 Task<HttpResult> HttpClient::send(Address to, std::string method, std::string target, std::string body,
--- a/src/io/http_client.hpp
+++ b/src/io/http_client.hpp
@@ -57,10 +57,10 @@
     void keep_idle(Address to, Socket socket);
     void remove_idle(IdleList::iterator connection);
     /// An idle connection, or nothing when a new one may be opened.
-    Task<Result<std::optional<Socket>, HttpError>> acquire(Address to, Micros deadline);
+    Task<base::Result<std::optional<Socket>, HttpError>> acquire(Address to, Micros deadline);
     /// Sends the request, and receives until `response` is complete.
-    static Task<Result<void, HttpError>> exchange(Socket& socket, std::string_view request,
-                                                  HttpMessageParser& response, Micros deadline);
+    static Task<base::Result<void, HttpError>> exchange(Socket& socket, std::string_view request,
+                                                        HttpMessageParser& response, Micros deadline);
 
     Loop& loop_;
     std::size_t max_idle_per_address_;
--- a/src/io/http_message.hpp
+++ b/src/io/http_message.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
+#include "base/result.hpp"
 #include "io/http_status.hpp"
-#include "io/result.hpp"
 
 namespace hatchwind::io {
 
@@ -40,7 +40,7 @@
 }
 
 /// The response to a request, of any status, or why there is none.
-class [[nodiscard]] HttpResult : public Result<HttpResponse, HttpError> {
+class [[nodiscard]] HttpResult : public base::Result<HttpResponse, HttpError> {
   public:
     using Result::Result;
 
--- a/src/io/socket.cpp
+++ b/src/io/socket.cpp
@@ -22,7 +22,8 @@
     return Address{ntohl(ip.s_addr), port};
 }
 
-Task<Result<std::size_t, IoError>> Socket::read(char* destination, std::size_t capacity, Micros deadline) {
+Task<base::Result<std::size_t, IoError>> Socket::read(char* destination, std::size_t capacity,
+                                                      Micros deadline) {
     while (true) {
         const Transfer received = stream_->receive(destination, capacity);
         if (received.outcome == Transfer::Outcome::moved) co_return received.bytes;
@@ -32,7 +33,7 @@
     }
 }
 
-Task<Result<void, IoError>> Socket::write(std::string_view data, Micros deadline) {
+Task<base::Result<void, IoError>> Socket::write(std::string_view data, Micros deadline) {
     while (!data.empty()) {
         const Transfer sent = stream_->send(data);
         if (sent.outcome == Transfer::Outcome::moved) {
@@ -43,10 +44,10 @@
         const bool ready = co_await stream_->writable.wait(deadline);
         if (!ready) co_return IoError::timed_out;
     }
-    co_return Result<void, IoError>{};
+    co_return base::Result<void, IoError>{};
 }
 
-Task<Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline) {
+Task<base::Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline) {
     return loop.transport().connect(loop, to, deadline);
 }
 
--- a/src/io/socket.hpp
+++ b/src/io/socket.hpp
@@ -10,8 +10,8 @@
 #include <optional>
 #include <string_view>
 
+#include "base/result.hpp"
 #include "io/loop.hpp"
-#include "io/result.hpp"
 #include "io/task.hpp"
 #include "io/transport.hpp"
 
@@ -34,10 +34,10 @@
 
     /// Waits for bytes, and returns how many were read to `destination`: at most `capacity`, and 0 at the end
     /// of the stream. `destination` must outlive the call.
-    Task<Result<std::size_t, IoError>> read(char* destination, std::size_t capacity, Micros deadline);
+    Task<base::Result<std::size_t, IoError>> read(char* destination, std::size_t capacity, Micros deadline);
     /// Hands all of `data` to the transport, or fails; the other end may have got a part of it then. `data`
     /// must outlive the call.
-    Task<Result<void, IoError>> write(std::string_view data, Micros deadline);
+    Task<base::Result<void, IoError>> write(std::string_view data, Micros deadline);
     /// True when a connection on which nothing is expected has been closed, or has received something all the
     /// same.
     bool is_stale() const { return stream_->has_input(); }
@@ -49,7 +49,7 @@
 };
 
 /// Establishes a connection over the loop's transport.
-Task<Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline);
+Task<base::Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline);
 
 /// Accepts connections to an address for as long as it lives.
 class Listener {
--- a/src/io/tcp.cpp
+++ b/src/io/tcp.cpp
@@ -112,7 +112,7 @@
 
 class TcpTransport final : public Transport {
   public:
-    Task<Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline) override {
+    Task<base::Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline) override {
         const int fd = open_socket();
         if (fd < 0) co_return IoError::failed;
         send_without_delay(fd);
--- a/src/io/transport.hpp
+++ b/src/io/transport.hpp
@@ -7,8 +7,8 @@
 #include <memory>
 #include <string_view>
 
+#include "base/result.hpp"
 #include "io/loop.hpp"
-#include "io/result.hpp"
 #include "io/task.hpp"
 
 namespace hatchwind::io {
@@ -67,7 +67,7 @@
 class Transport {
   public:
     /// Establishes a connection until `deadline` (monotonic).
-    virtual Task<Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline) = 0;
+    virtual Task<base::Result<Socket, IoError>> connect(Loop& loop, Address to, Micros deadline) = 0;
     /// Throws std::system_error when the address can't be had.
     virtual std::unique_ptr<Acceptor> listen(Loop& loop, Address at) = 0;
 
--- a/src/scaling/cordon_record.cpp
+++ b/src/scaling/cordon_record.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "store/store_keys.hpp"
+#include "wire/cbor.hpp"
 #include "wire/records.hpp"
 #include "wire/store_api.hpp"
 
@@ -23,7 +24,7 @@
 // Written under larger limits, the record may hold more cordons than fit now. Those of machines that are gone
 // are dropped first; a machine that loses its cordon takes tasks again.
 void CordonRecord::fit_value_limit(std::set<std::string>& machines) const {
-    std::size_t bytes = wire::names_record(machines).dump().size();
+    std::size_t bytes = wire::json_bytes(wire::names_record(machines));
     for (const auto dropped : {MachinePresence::gone, MachinePresence::in_view}) {
         for (auto machine = machines.begin(); machine != machines.end() && bytes > settings_.value_limit();) {
             const bool in_view = workers_.cluster_view().find(*machine) != nullptr;
--- a/src/scheduling/attempt_page_split.cpp
+++ b/src/scheduling/attempt_page_split.cpp
@@ -4,6 +4,7 @@
 #include <compare>
 #include <functional>
 
+#include "wire/cbor.hpp"
 #include "wire/records.hpp"
 
 namespace hatchwind::controller {
@@ -28,7 +29,7 @@
 
 std::size_t chunk_bytes(const core::ChunkKey& key, const core::Chunk& chunk) {
     return kChunkFrameBytes + key.job.size() + std::to_string(key.number).size() +
-           wire::chunk_record(chunk).dump().size();
+           wire::json_bytes(wire::chunk_record(chunk));
 }
 
 std::size_t page_bytes(const PageContent& content) {
--- a/src/scheduling/cancellation_enforcer.cpp
+++ b/src/scheduling/cancellation_enforcer.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "core/time.hpp"
+
 namespace hatchwind::controller {
 
 using core::AttemptStatus;
@@ -26,7 +28,7 @@
 }  // namespace
 
 Micros CancellationEnforcer::share_of_limit(double share) const {
-    return Micros{static_cast<std::int64_t>(settings_.cancel_s * share * 1e6)};
+    return core::from_seconds(settings_.cancel_s * share);
 }
 
 std::vector<CancellationEnforcer::OpenTask> CancellationEnforcer::open_tasks() const {
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "store/store_keys.hpp"
+#include "wire/cbor.hpp"
 #include "wire/job_status.hpp"
 #include "wire/records.hpp"
 
@@ -54,7 +55,7 @@
         *job.deadline_s -= std::chrono::duration<double>(wall_clock_now - job.accepted).count();
     job.accepted = wall_clock_now;
     wire::Json record = wire::job_record(job);
-    const std::size_t bytes = record.dump().size() + kResolutionOverheadBytes;
+    const std::size_t bytes = wire::json_bytes(record) + kResolutionOverheadBytes;
     return {job.id, entry.mod_revision, {keys::job(job.id), std::move(record), 0}, std::nullopt, bytes};
 }
 
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -6,6 +6,7 @@
 #include <cmath>
 #include <utility>
 
+#include "core/time.hpp"
 #include "io/http_responses.hpp"
 #include "io/http_status.hpp"
 
@@ -20,7 +21,6 @@
 constexpr Micros kCallTimeout{2'000'000};
 constexpr Micros kWatchGrace{3'000'000};
 constexpr Micros kUnreachableAfter{600'000};
-constexpr double kMicrosPerSecond = 1e6;
 constexpr std::size_t kIdleConnections = 6;
 constexpr const char* kPageSize = "1000";
 constexpr std::size_t kMinWatchBytes = std::size_t{256} << 10U;
@@ -71,7 +71,7 @@
 void StoreClient::record_demand(double writes) {
     const Micros now = steady_now();
     if (demand_updated_at_.count() != 0) {
-        const double seconds = static_cast<double>((now - demand_updated_at_).count()) / kMicrosPerSecond;
+        const double seconds = core::to_seconds(now - demand_updated_at_);
         demand_ *= std::exp(-seconds / kDemandSpanSeconds);
     }
     demand_updated_at_ = now;
--- a/src/store/token_bucket.hpp
+++ b/src/store/token_bucket.hpp
@@ -38,19 +38,18 @@
         refill(monotonic_now);
         const double missing = std::min(tokens, burst_) - available_ - overdraft * burst_;
         if (missing <= 0) return core::Micros{0};
-        const double micros = missing / rate_ * kMicrosPerSecond;
+        const double micros = missing / rate_ * core::kMicrosPerSecond;
         return core::Micros{static_cast<std::int64_t>(micros)} + kWaitMargin;
     }
 
   private:
-    static constexpr double kMicrosPerSecond = 1e6;
     // So that rounding never leaves a token short after the wait.
     static constexpr core::Micros kWaitMargin{1000};
 
     void refill(core::Micros monotonic_now) {
         if (refilled_at_.count() != 0) {
             const double elapsed_micros = static_cast<double>((monotonic_now - refilled_at_).count());
-            available_ = std::min(burst_, available_ + rate_ * elapsed_micros / kMicrosPerSecond);
+            available_ = std::min(burst_, available_ + rate_ * elapsed_micros / core::kMicrosPerSecond);
         }
         refilled_at_ = monotonic_now;
     }
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -61,6 +61,8 @@
     return body;
 }
 
+std::size_t json_bytes(const Json& value) { return value.dump().size(); }
+
 std::optional<std::string> text(const Json& map, const char* key) {
     const Json* value = field(map, key);
     if (value == nullptr || !value->is_string()) return std::nullopt;
--- a/src/wire/cbor.hpp
+++ b/src/wire/cbor.hpp
@@ -2,6 +2,7 @@
 /// others sent: each reader returns nothing instead.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -19,6 +20,8 @@
 std::optional<Json> decode(std::string_view body);
 /// The CBOR form of a value.
 std::string encode(const Json& value);
+/// The length of the value's JSON form, by which the store limits values and transactions.
+std::size_t json_bytes(const Json& value);
 
 /// A text; nothing when the field is missing, null or of another type. So for the other readers of fields.
 std::optional<std::string> text(const Json& map, const char* key);
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "io/http_status.hpp"
+#include "io/scoped_count.hpp"
 #include "workers/worker_http_limits.hpp"
 
 namespace hatchwind::controller {
@@ -25,18 +26,6 @@
 constexpr double kQuietHeartbeatIntervals = 2;
 constexpr std::size_t kConnectivityTries = 2;
 constexpr std::size_t kMinWorkersForVerdict = 2;  // one alone may be the one that is unreachable
-
-/// Takes a probe out of the count of those in flight when it ends.
-class ProbeInFlight {
-  public:
-    explicit ProbeInFlight(std::size_t& count) : count_(count) {}
-    ~ProbeInFlight() { --count_; }
-    ProbeInFlight(const ProbeInFlight&) = delete;
-    ProbeInFlight& operator=(const ProbeInFlight&) = delete;
-
-  private:
-    std::size_t& count_;
-};
 }  // namespace
 
 Task<io::HttpResult> ReachabilityMonitor::request_status(io::Address worker, Micros timeout) {
@@ -45,7 +34,7 @@
 }
 
 Task<void> ReachabilityMonitor::probe(std::string machine) {
-    const ProbeInFlight in_flight{probes_in_flight_};
+    const io::ScopedCount in_flight{probes_in_flight_};
     const core::MachineView* view = context_.workers.cluster_view().find(machine);
     const auto address = view == nullptr ? std::nullopt : io::parse_address(view->last_heartbeat.address);
     if (!address) {
@@ -81,7 +70,6 @@
         context_.probes.remove_unknown(context_.workers.cluster_view());
         for (const auto& machine : context_.probes.due(now, probes_allowed())) {
             context_.probes.record_probe_sent(machine, now);
-            ++probes_in_flight_;
             context_.scope.spawn(probe(machine));
         }
     }
--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -167,7 +167,7 @@
             auto writing = socket->write(text, io::steady_now() + Micros{1'000'000});
             co_await std::move(writing);
             char buffer[512];
-            io::Result<std::size_t, io::IoError> n = std::size_t{1};
+            base::Result<std::size_t, io::IoError> n = std::size_t{1};
             while (n && *n > 0) {
                 auto reading = socket->read(buffer, sizeof buffer, io::steady_now() + Micros{5'000'000});
                 n = co_await std::move(reading);
