--- a/tests/check_doc_comments_test.sh
+++ b/tests/check_doc_comments_test.sh
@@ -5,23 +5,9 @@
 set -euo pipefail
 repository=$1
 check=$repository/.ci/check-doc-comments
-scratch=$(mktemp -d)
-trap 'rm -rf "$scratch"' EXIT
-
-fresh_copy() {
-    rm -rf "$scratch/src"
-    cp -r "$repository/src" "$scratch/src"
-}
-
-# expect_failure MESSAGE: the check fails on the copy, and says this.
-expect_failure() {
-    local output
-    if output=$("$check" "$scratch/src" 2>&1); then
-        echo "passed, expected was a failure with: $1" >&2
-        exit 1
-    fi
-    grep -qF -- "$1" <<<"$output" || { echo "expected: $1"; echo "said: $output"; exit 1; } >&2
-}
+parts=(src)
+. "$(dirname "$0")/planted_faults.sh"
+checked=$scratch/src
 
 # in_header DECLARATIONS: a new header that holds them.
 in_header() {
--- a/tests/check_test_names_test.sh
+++ b/tests/check_test_names_test.sh
@@ -5,23 +5,9 @@
 set -euo pipefail
 repository=$1
 check=$repository/.ci/check-test-names
-scratch=$(mktemp -d)
-trap 'rm -rf "$scratch"' EXIT
-
-fresh_copy() {
-    rm -rf "$scratch/docs" "$scratch/tests"
-    cp -r "$repository/docs" "$repository/tests" "$scratch"
-}
-
-# expect_failure MESSAGE: the check fails on the copy, and says this.
-expect_failure() {
-    local output
-    if output=$("$check" "$scratch" 2>&1); then
-        echo "passed, expected was a failure with: $1" >&2
-        exit 1
-    fi
-    grep -qF -- "$1" <<<"$output" || { echo "expected: $1"; echo "said: $output"; exit 1; } >&2
-}
+parts=(docs tests)
+. "$(dirname "$0")/planted_faults.sh"
+checked=$scratch
 
 # planted FILE TEXT MESSAGE
 planted() {
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -149,12 +149,6 @@
     co_await std::move(waiting);
 }
 
-std::size_t held_orders(Site& s) {
-    std::size_t n = 0;
-    for (const auto& [id, w] : s.cloud.workers) n += w->recorded_attempts.size();
-    return n;
-}
-
 bool lists(Site& s, const std::string& name) {
     return std::any_of(s.cloud.workers.begin(), s.cloud.workers.end(), [&](const auto& w) {
         return w.second->last_report.dump().find("\"" + name + "\"") != std::string::npos;
@@ -209,11 +203,7 @@
     site.world.endless = {"req-2"};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 1);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         for (auto& [id, w] : s.cloud.workers) w->hold_orders = true;
@@ -222,7 +212,7 @@
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return held_orders(s) > 0; });
+            auto step = until(s, [&s] { return s.held_orders() > 0; });
             co_await std::move(step);
         }
         {
@@ -237,9 +227,7 @@
             co_await std::move(step);
         }
         co_await s.loop.sleep(Micros{1'500'000});
-        for (auto& [id, w] : s.cloud.workers) {
-            for (const auto& copy : w->recorded_attempts) (void)w->late_orders(copy);
-        }
+        s.deliver_held_orders();
         co_await s.loop.sleep(Micros{100'000});
         EXPECT_TRUE(s.world.running.empty()) << "a start that came after the end of a cancelled job ran";
     });
@@ -254,11 +242,7 @@
     set_lease(site, 8);
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 1);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         for (auto& [id, w] : s.cloud.workers) w->hold_orders = true;
@@ -267,7 +251,7 @@
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return held_orders(s) > 0; });
+            auto step = until(s, [&s] { return s.held_orders() > 0; });
             co_await std::move(step);
         }
         for (auto& [id, w] : s.cloud.workers) w->deaf = true;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -148,11 +148,7 @@
         EXPECT_TRUE(s.state.items.contains("f/req-1"));
         const std::size_t before = s.state.conflicts;
         {
-            auto step = s.submit("req-2", "x", "sweep", 4);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-2", "done");
+            auto step = s.run_until_done("req-2", "x", "sweep", 4);
             co_await std::move(step);
         }
         co_await s.loop.sleep(Micros{500'000});
@@ -220,11 +216,7 @@
         for (const auto& [task, n] : s.world.completed) EXPECT_EQ(n, 1) << task;
         s.start(s.index(old));
         {
-            auto step = s.submit("req-4", "x", "sweep", 3);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-4", "done");
+            auto step = s.run_until_done("req-4", "x", "sweep", 3);
             co_await std::move(step);
         }
     });
@@ -338,11 +330,7 @@
         EXPECT_EQ(r.first, 503);
         s.state.down = false;
         {
-            auto step = s.submit("req-2", "y", "sweep", 2);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-2", "done");
+            auto step = s.run_until_done("req-2", "y", "sweep", 2);
             co_await std::move(step);
         }
         EXPECT_EQ(s.world.running, homes);
@@ -462,11 +450,7 @@
         // By then no heartbeat shows by its fencing token alone that it is new.
         co_await s.loop.sleep(Micros{7'000'000});
         {
-            auto step = s.submit("req-1", "x", "sweep", 2);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 2);
             co_await std::move(step);
         }
         // No dead machine is probed twice before the live ones were probed once.
@@ -555,11 +539,7 @@
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 1);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         for (auto& [id, w] : s.cloud.workers) w->hold_orders = true;
@@ -567,13 +547,8 @@
             auto step = s.submit("req-2", "x", "sweep", 2);
             co_await std::move(step);
         }
-        const auto recorded_attempts = [&s] {
-            std::size_t n = 0;
-            for (const auto& [id, w] : s.cloud.workers) n += w->recorded_attempts.size();
-            return n;
-        };
         {
-            const std::function<bool()> reached = [&] { return recorded_attempts() > 0; };
+            const std::function<bool()> reached = [&] { return s.held_orders() > 0; };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
@@ -585,11 +560,9 @@
             co_await std::move(step);
         }
         co_await s.loop.sleep(Micros{2'500'000});  // reaps and sweeps have had their time
-        for (auto& [id, w] : s.cloud.workers) {
-            for (const auto& copy : w->recorded_attempts) (void)w->late_orders(copy);
-        }
+        s.deliver_held_orders();
         co_await s.loop.sleep(Micros{600'000});
-        EXPECT_GT(recorded_attempts(), 0U);
+        EXPECT_GT(s.held_orders(), 0U);
         EXPECT_EQ(s.world.completed["req-2/0"], 1);
         EXPECT_EQ(s.world.completed["req-2/1"], 1);
     });
@@ -643,11 +616,7 @@
         EXPECT_EQ(health.first, 503);
         for (const auto& [id, n] : incarnations) EXPECT_EQ(s.cloud.workers.at(id)->incarnation(), n) << id;
         {
-            auto step = s.submit("req-4", "x", "sweep", 2);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-4", "done");
+            auto step = s.run_until_done("req-4", "x", "sweep", 2);
             co_await std::move(step);
         }
         s.cut_off(false);
@@ -758,11 +727,7 @@
     Site site{2};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 1);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         constexpr int jobs = 2500;
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -137,6 +137,25 @@
             co_await loop.sleep(Micros{100'000});
         }
     }
+    // Submits a job and waits until it is done.
+    Task<void> run_until_done(std::string id, std::string team, std::string form, int tasks) {
+        auto submitting = submit(id, std::move(team), std::move(form), tasks);
+        co_await std::move(submitting);
+        auto waiting = until_status(std::move(id), "done");
+        co_await std::move(waiting);
+    }
+    // Requests with commands that the workers have received and kept; see WorkerStandIn::hold_orders.
+    std::size_t held_orders() const {
+        std::size_t count = 0;
+        for (const auto& [id, worker] : cloud.workers) count += worker->recorded_attempts.size();
+        return count;
+    }
+    // Each of them arrives once more, or late.
+    void deliver_held_orders() {
+        for (auto& [id, worker] : cloud.workers) {
+            for (const auto& request : worker->recorded_attempts) (void)worker->late_orders(request);
+        }
+    }
     Task<void> until(std::function<bool()> f) {
         while (!f()) co_await loop.sleep(Micros{20'000});
     }
--- a/tests/user_answers_test.cpp
+++ b/tests/user_answers_test.cpp
@@ -241,11 +241,7 @@
     site.play([&late_starts, seed](Site& s) -> Task<void> {
         {
             // Machines are there, so that tasks start at once.
-            auto step = s.submit("req-1", "x", "sweep", 8);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 8);
             co_await std::move(step);
         }
         CloseLooks looks{s, seed};
@@ -324,11 +320,7 @@
     Site site{2};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 4);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 4);
             co_await std::move(step);
         }
         const std::size_t owner = s.index(s.state.items.at("h/epoch").value["owners"]["x"]);
@@ -475,11 +467,7 @@
     Site site{1};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 4);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 4);
             co_await std::move(step);
         }
         bool lost = false;
@@ -488,11 +476,7 @@
             return ends && !std::exchange(lost, true) ? Treatment::lose_answer : Treatment::carry_out;
         };
         {
-            auto step = s.submit("req-2", "x", "sweep", 4);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-2", "done");
+            auto step = s.run_until_done("req-2", "x", "sweep", 4);
             co_await std::move(step);
         }
         const Micros give_up = io::steady_now() + Micros{8'000'000};
@@ -515,11 +499,7 @@
     site.world.endless = {"req-2"};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 1);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         bool recorded = false;
@@ -559,11 +539,7 @@
     site.world.endless = {"req-2"};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 1);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         bool refuse = true;
@@ -841,11 +817,7 @@
     site.world.run_time = Micros{100'000};
     site.play([](Site& s) -> Task<void> {
         {
-            auto step = s.submit("req-1", "x", "sweep", 8);
-            co_await std::move(step);
-        }
-        {
-            auto step = s.until_status("req-1", "done");
+            auto step = s.run_until_done("req-1", "x", "sweep", 8);
             co_await std::move(step);
         }
         constexpr int jobs = 160;
