--- a/src/core/candidate_search.cpp
+++ b/src/core/candidate_search.cpp
@@ -7,22 +7,22 @@
 
 double CandidateSearch::image_fetch_s(const Job& job, const MachineCapacity& machine) const {
     if (machine.has_image(job.image)) return 0;
-    const double alone = job.image_gb / machine.type->fetch_gb_per_s;
-    if (machine.view == nullptr) return alone;
+    const double unshared_fetch_s = job.image_gb / machine.type->fetch_gb_per_s;
+    if (machine.view == nullptr) return unshared_fetch_s;
     for (const auto& task : machine.view->last_heartbeat.tasks) {
         if (task.state != TaskState::fetching) continue;
         const JobEntry* other = trial_.input().job_table->find(task.job);
-        // One fetch serves all tasks that need it, and this one is under way.
-        if (other != nullptr && other->job.image == job.image) return alone / 2;
+        // One fetch serves all tasks that need the image; this one is assumed to be half done.
+        if (other != nullptr && other->job.image == job.image) return unshared_fetch_s / 2;
     }
-    return alone;
+    return unshared_fetch_s;
 }
 
 CandidateScore CandidateSearch::score(const Job& job, std::size_t machine) const {
     const MachineCapacity& candidate = trial_.capacity().machines()[machine];
     const int fetch_s = static_cast<int>(std::lround(image_fetch_s(job, candidate)));
     const double cpus_left = candidate.free.cpus - job.resources.cpus;
-    return {candidate.candidate, fetch_s, candidate.spot != job.spot, cpus_left, machine};
+    return {candidate.drain_candidate, fetch_s, candidate.spot != job.spot, cpus_left, machine};
 }
 
 std::optional<std::size_t> CandidateSearch::best(const JobEntry& entry, const ZoneUse& zones,
--- a/src/core/drain_planner.cpp
+++ b/src/core/drain_planner.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-// Of a service's replicas, the part that may be down at once.
+// At most one in this many replicas of a service may be down at once.
 constexpr int kServiceDownDivisor = 4;
-// Machines whose use differs by less than a step count as equally used.
+// Use is rounded to this many steps; machines in the same step count as equally used.
 constexpr double kUseSteps = 10;
 
-// How many more tasks of a job may be stopped: for a service a quarter of its replicas, at least one, less
-// those that are down already.
+// Returns how many more tasks of a job may be stopped. For a service this is a quarter of its replicas, at
+// least one, minus the replicas that are already down.
 int stop_quota(const JobEntry& entry) {
     const int tasks = static_cast<int>(entry.job.tasks);
     if (entry.job.kind != JobKind::service) return tasks;
@@ -26,19 +26,19 @@
 
 bool has_zone_rules(const Job& job) { return job.spread || job.one_zone; }
 
-// Moves tasks in the working copy. Trials nest by position, as those of the free capacity do: copies of whole
-// maps for each trial were quadratic in the fleet.
+// Moves tasks in the working copy. Nested trials are marked by positions in logs of changes, as in
+// FreeCapacity: copying whole maps for each trial would be quadratic in the number of machines.
 class MoveTrial {
   public:
-    MoveTrial(FreeCapacity& capacity, const std::map<TaskRef, std::string>& remembered)
-        : capacity_(capacity), remembered_(remembered) {}
+    MoveTrial(FreeCapacity& capacity, const std::map<TaskRef, std::string>& remembered_destinations)
+        : capacity_(capacity), remembered_destinations_(remembered_destinations) {}
 
-    // Finds a new place for one task: the remembered destination first, then from the list's far end. False
-    // when there is none.
+    // Finds a destination for one task: the destination of the last round first, then the machines from the
+    // end of the list. Returns false if there is none.
     bool relocate(const JobEntry& entry, const TaskRef& ref, const std::string& from,
                   const std::set<std::string>& excluded) {
-        if (const auto hint = remembered_.find(ref); hint != remembered_.end()) {
-            const auto position = capacity_.at(hint->second);
+        if (const auto hint = remembered_destinations_.find(ref); hint != remembered_destinations_.end()) {
+            const auto position = capacity_.position_of(hint->second);
             if (position != FreeCapacity::npos && fits(entry, position, from, excluded)) {
                 place(entry, ref, position);
                 return true;
@@ -51,16 +51,16 @@
         }
         return false;
     }
-    // A task of the job leaves its zone.
-    void leave(const JobEntry& entry, const std::string& zone) {
+    // Removes one task of the job from its zone's count.
+    void remove_from_zone(const JobEntry& entry, const std::string& zone) {
         if (!has_zone_rules(entry.job)) return;
         zone_use(entry).remove(zone);
         zone_moves_.push_back({&entry, zone, false});
     }
-    // One more of the job's tasks is down; false when its quota forbids that.
+    // Counts one more stopped task of the job. Returns false if that exceeds the job's stop quota.
     bool stop(const JobEntry& entry) {
         stops_.push_back(&entry);
-        return --quota_of(entry) >= 0;
+        return --stop_quota_of(entry) >= 0;
     }
     bool is_destination(const std::string& machine) const { return tasks_placed_on_.contains(machine); }
     std::map<TaskRef, std::string> release_destinations() { return std::move(destinations_); }
@@ -68,12 +68,13 @@
     struct Mark {
         std::size_t capacity, zone_moves, placed, stops;
     };
-    Mark mark() const { return {capacity_.mark(), zone_moves_.size(), placed_.size(), stops_.size()}; }
+    Mark mark() const { return {capacity_.mark(), zone_moves_.size(), placed_tasks_.size(), stops_.size()}; }
     void revert(const Mark& mark) {
         capacity_.revert(mark.capacity);
         for (; zone_moves_.size() > mark.zone_moves; zone_moves_.pop_back()) undo(zone_moves_.back());
-        for (; placed_.size() > mark.placed; placed_.pop_back()) undo_placement(placed_.back());
-        for (; stops_.size() > mark.stops; stops_.pop_back()) ++quota_of(*stops_.back());
+        for (; placed_tasks_.size() > mark.placed; placed_tasks_.pop_back())
+            undo_placement(placed_tasks_.back());
+        for (; stops_.size() > mark.stops; stops_.pop_back()) ++stop_quota_of(*stops_.back());
     }
 
   private:
@@ -88,8 +89,8 @@
         if (is_new) known->second = ZoneUse::of(entry, capacity_);
         return known->second;
     }
-    int& quota_of(const JobEntry& entry) {
-        const auto [known, is_new] = quota_.try_emplace(&entry, 0);
+    int& stop_quota_of(const JobEntry& entry) {
+        const auto [known, is_new] = stop_quotas_.try_emplace(&entry, 0);
         if (is_new) known->second = stop_quota(entry);
         return known->second;
     }
@@ -108,7 +109,7 @@
             zone_moves_.push_back({&entry, machine.zone, true});
         }
         if (destinations_.emplace(ref, machine.id).second) {
-            placed_.push_back(ref);
+            placed_tasks_.push_back(ref);
             ++tasks_placed_on_[machine.id];
         }
     }
@@ -128,13 +129,13 @@
     }
 
     FreeCapacity& capacity_;
-    const std::map<TaskRef, std::string>& remembered_;
+    const std::map<TaskRef, std::string>& remembered_destinations_;
     std::map<TaskRef, std::string> destinations_;
     std::unordered_map<const JobEntry*, ZoneUse> zones_;
-    std::unordered_map<const JobEntry*, int> quota_;
+    std::unordered_map<const JobEntry*, int> stop_quotas_;
     std::unordered_map<std::string, std::size_t> tasks_placed_on_;  // by machine
     std::vector<ZoneMove> zone_moves_;
-    std::vector<TaskRef> placed_;
+    std::vector<TaskRef> placed_tasks_;
     std::vector<const JobEntry*> stops_;
 };
 
@@ -153,7 +154,7 @@
             return input_.monotonic_now - stop.second >= settings_.recent_stop;
         });
         DrainResult result;
-        // What is being drained, and what was stopped and has no new place yet, must fit first.
+        // Tasks of draining machines, and stopped tasks that have no new machine yet, must fit first.
         result.blocked = !relocate_draining() || !relocate_recently_stopped();
         if (result.blocked) {
             state_.candidate_since.clear();
@@ -166,8 +167,9 @@
     }
 
   private:
-    // Less used first: empty machines cost nothing to release. Among equals the most expensive for its CPUs,
-    // since caps and stop quotas may leave the rest standing.
+    // Ordered by use, least used first: releasing empty machines costs nothing. Equally used machines are
+    // ordered by price per CPU, most expensive first, since caps and stop quotas may prevent the release of
+    // the rest.
     struct EligibleMachine {
         double use_step;
         double negative_price_per_cpu;
@@ -182,8 +184,8 @@
         for (const auto& id : input_.draining) {
             const MachineCapacity* from = capacity_.find(id);
             for (const auto& [ref, recorded] : input_.job_table->on_machine(id)) {
-                if (from != nullptr) trial_.leave(*recorded.entry, from->zone);
-                // These are stopped whatever the quota says: it only counts them.
+                if (from != nullptr) trial_.remove_from_zone(*recorded.entry, from->zone);
+                // Tasks of draining machines are stopped regardless of the quota; the call only counts them.
                 (void)trial_.stop(*recorded.entry);
                 if (!trial_.relocate(*recorded.entry, ref, id, {})) return false;
             }
@@ -196,12 +198,12 @@
         return std::all_of(stops.begin(), stops.end(), [&](const auto& stop) {
             const TaskRef& ref = stop.first;
             const JobEntry* entry = input_.job_table->find(ref.job);
-            if (entry == nullptr || !needs_place(*entry, ref)) return true;
+            if (entry == nullptr || !needs_destination(*entry, ref)) return true;
             return trial_.relocate(*entry, ref, "", {});
         });
     }
 
-    bool needs_place(const JobEntry& entry, const TaskRef& ref) const {
+    bool needs_destination(const JobEntry& entry, const TaskRef& ref) const {
         if (entry.job.cancelled || input_.job_table->open_attempt(ref.job, ref.task) != nullptr) return false;
         const auto chunk = entry.chunks.find(ref.task / kChunkTasks);
         return chunk == entry.chunks.end() || !chunk->second.done.contains(ref.task);
@@ -214,10 +216,10 @@
     bool is_eligible(const MachineCapacity& machine) const {
         if (machine.view == nullptr || machine.draining) return false;
         if (input_.protected_machines.contains(machine.id)) return false;
-        // A machine that takes nothing new may still be released; an unresponsive one without tasks is left
-        // to failure detection.
+        // A machine that accepts no new tasks may still be released. An unresponsive machine without tasks is
+        // left to failure detection.
         if (!machine.usable && !machine.view->notice_until && has_no_tasks(machine.id)) return false;
-        return machine.use() < settings_.use_threshold;
+        return machine.cpu_utilization() < settings_.use_threshold;
     }
 
     std::vector<EligibleMachine> eligible_machines() const {
@@ -225,7 +227,8 @@
         for (const auto& machine : capacity_.machines()) {
             if (!is_eligible(machine)) continue;
             const double price_per_cpu = machine.price() / std::max(machine.type->size.cpus, 1.0);
-            eligible.push_back({std::round(machine.use() * kUseSteps), -price_per_cpu, machine.id});
+            eligible.push_back(
+                {std::round(machine.cpu_utilization() * kUseSteps), -price_per_cpu, machine.id});
         }
         std::sort(eligible.begin(), eligible.end());
         return eligible;
@@ -239,7 +242,7 @@
             if (input_.out_of_time()) break;
             if (standing - candidates.size() <= settings_.fleet_minimum) break;
             const auto mark = trial_.mark();
-            if (can_vacate(machine.id, candidates)) {
+            if (can_relocate_all_tasks(machine.id, candidates)) {
                 candidates.insert(machine.id);
             } else {
                 trial_.revert(mark);
@@ -248,16 +251,17 @@
         return candidates;
     }
 
-    // All tasks of the machine may be stopped, and fit on machines that are no candidates themselves.
-    bool can_vacate(const std::string& id, const std::set<std::string>& candidates) {
-        // A machine on which this very trial places tasks is needed.
+    // Returns true if all tasks of the machine may be stopped and fit on machines that are not candidates
+    // themselves.
+    bool can_relocate_all_tasks(const std::string& id, const std::set<std::string>& candidates) {
+        // A machine to which this trial has moved tasks is needed.
         if (trial_.is_destination(id)) return false;
         const MachineCapacity* from = capacity_.find(id);
         const RecordedAttempts& attempts = input_.job_table->on_machine(id);
         return std::all_of(attempts.begin(), attempts.end(), [&](const auto& attempt) {
             const JobEntry& entry = *attempt.second.entry;
             if (entry.job.kind == JobKind::gang || !trial_.stop(entry)) return false;
-            trial_.leave(entry, from->zone);
+            trial_.remove_from_zone(entry, from->zone);
             return trial_.relocate(entry, attempt.first, id, candidates);
         });
     }
@@ -271,7 +275,7 @@
         state_.candidate_since = std::move(since);
     }
 
-    // Candidates that were unneeded for long enough, the most expensive first.
+    // Returns the machines that have been candidates for long enough, the most expensive first.
     std::vector<std::string> due_candidates() const {
         std::vector<std::string> due;
         for (const auto& [id, since] : state_.candidate_since) {
@@ -283,7 +287,7 @@
         return due;
     }
 
-    // Empty machines first; busy ones drain under a cap of their own.
+    // Chooses machines without tasks first; machines with tasks have an additional cap.
     void choose_due(DrainResult& result) {
         const std::vector<std::string> due = due_candidates();
         std::size_t draining = input_.draining.size();
--- a/src/core/drain_planner.hpp
+++ b/src/core/drain_planner.hpp
@@ -1,6 +1,6 @@
-/// Drain planner: finds machines that can be scaled in together, by bin packing their tasks onto the others
-/// in a working copy of the free capacity. A pure function of its input; the bound on its work comes in as a
-/// callback, so that runs repeat.
+/// Drain planner: finds machines that can be scaled in together, by bin packing their tasks onto the other
+/// machines in a working copy of the free capacity. A pure function of its input; its time limit is passed in
+/// as a callback, so that runs are reproducible.
 #pragma once
 
 #include <functional>
@@ -16,40 +16,43 @@
 
 /// See docs/operations.md for the properties that set these.
 struct DrainSettings {
-    double use_threshold = 0.5;      ///< only machines with a smaller used part of their CPUs are candidates
-    Micros unneeded{30'000'000};     ///< how long a machine has to be a candidate before it is drained
-    Micros recent_stop{30'000'000};  ///< how long a stopped task counts as one that needs a new place
-    std::size_t total_cap = 8;       ///< machines that may be draining at a time
-    std::size_t busy_cap = 2;        ///< of these, machines with tasks
-    std::size_t fleet_minimum = 1;   ///< machines that always stay
+    /// Only machines with a smaller fraction of their CPUs in use are candidates.
+    double use_threshold = 0.5;
+    Micros unneeded{30'000'000};     ///< time for which a machine must be a candidate before it is drained
+    Micros recent_stop{30'000'000};  ///< time for which a stopped task counts as one that needs a destination
+    std::size_t total_cap = 8;       ///< maximum number of machines that drain at the same time
+    std::size_t busy_cap = 2;        ///< maximum number of these that have tasks
+    std::size_t fleet_minimum = 1;   ///< number of machines that are never scaled in
 };
 
-/// What the planner remembers from one round to the next. Times are of the monotonic clock.
+/// State that the planner keeps from one round to the next. Times are of the monotonic clock.
 struct DrainState {
     std::map<std::string, Micros> candidate_since;  ///< by machine
-    std::map<TaskRef, std::string> destinations;    ///< machines that the last round's trial chose
-    std::map<TaskRef, Micros> recent_stops;         ///< when the task was stopped; the caller adds to it
+    std::map<TaskRef, std::string> destinations;    ///< machines that the last round chose for the tasks
+    std::map<TaskRef, Micros> recent_stops;         ///< when the task was stopped; the caller adds entries
 };
 
-/// What the planner decides by. Pointers are not null.
+/// Input of the planner. Pointers are not null.
 struct DrainInput {
     const JobTable* job_table = nullptr;
     const ClusterView* cluster_view = nullptr;
     std::set<std::string> draining;
-    std::set<std::string> protected_machines;  ///< never candidates: gangs, or needed as they are
+    std::set<std::string> protected_machines;  ///< never candidates, for example because they run gangs
     Micros monotonic_now{};                    ///< monotonic clock
-    /// Ends the search for candidates; those found so far count.
+    /// Returns true when the search for candidates must end; candidates found so far remain valid.
     std::function<bool()> out_of_time = [] { return false; };
 };
 
 /// Machines that the planner chose in one round.
 struct DrainResult {
-    std::vector<std::string> empty;  ///< to be released at once
-    std::vector<std::string> busy;   ///< to be drained, then released
-    bool blocked = false;  ///< the tasks of draining machines do not all fit elsewhere: no candidates
+    std::vector<std::string> empty;  ///< without tasks: to be released at once
+    std::vector<std::string> busy;   ///< with tasks: to be drained, then released
+    /// True if not all tasks of draining machines and recently stopped tasks fit elsewhere; then there are no
+    /// candidates.
+    bool blocked = false;
 };
 
-/// One round: updates `state`, and returns what to drain now.
+/// Runs one round: updates `state` and returns the machines to drain now.
 DrainResult plan_drains(const DrainSettings& settings, const DrainInput& input, FreeCapacity capacity,
                         DrainState& state);
 
--- a/src/core/fair_share.cpp
+++ b/src/core/fair_share.cpp
@@ -7,16 +7,16 @@
 double max_min_share(const std::vector<double>& demands, std::size_t index, double capacity) {
     std::vector<double> ascending = demands;
     std::sort(ascending.begin(), ascending.end());
-    double left = capacity;
-    std::size_t unserved = ascending.size();
+    double remaining = capacity;
+    std::size_t remaining_demands = ascending.size();
     for (const double demand : ascending) {
-        const double equal_part = left / static_cast<double>(unserved);
-        // All that are still to come want more than an equal part of the rest.
-        if (demand > equal_part) return std::min(demands[index], equal_part);
-        left -= demand;
-        --unserved;
+        const double equal_share = remaining / static_cast<double>(remaining_demands);
+        // All remaining demands exceed an equal share of the remaining capacity.
+        if (demand > equal_share) return std::min(demands[index], equal_share);
+        remaining -= demand;
+        --remaining_demands;
     }
-    return demands[index] + left / static_cast<double>(demands.size());
+    return demands[index] + remaining / static_cast<double>(demands.size());
 }
 
 }  // namespace hatchwind::core
--- a/src/core/fair_share.hpp
+++ b/src/core/fair_share.hpp
@@ -1,6 +1,5 @@
-/// Max-min fair sharing of a rate limit between controllers (Bertsekas and Gallager, Data Networks,
-/// section 6.5.2): whoever wants little gets all of it, and those that want more than an equal part share
-/// what is left evenly.
+/// Max-min fair sharing of a rate limit between controllers (Bertsekas and Gallager, Data Networks, section
+/// 6.5.2): a demand below an equal share is met in full, and larger demands split the rest evenly.
 #pragma once
 
 #include <cstddef>
@@ -8,8 +7,9 @@
 
 namespace hatchwind::core {
 
-/// The part of `capacity` that belongs to `demands[index]`; demands and capacity in the same unit, none of
-/// them negative. The parts of all add up to the capacity: what nobody wants is spread evenly.
+/// Returns the share of `capacity` that is assigned to `demands[index]`. Demands and capacity have the same
+/// unit and are not negative. All shares add up to the capacity: capacity beyond the total demand is spread
+/// evenly.
 double max_min_share(const std::vector<double>& demands, std::size_t index, double capacity);
 
 }  // namespace hatchwind::core
--- a/src/core/fair_share_ranking.cpp
+++ b/src/core/fair_share_ranking.cpp
@@ -7,8 +7,8 @@
 namespace hatchwind::core {
 
 namespace {
-// A job that has waited longer waits for something else, and must not keep the fleet idle.
-constexpr Micros kReservedFor{60'000'000};
+// A job that has waited longer is blocked by something other than capacity, and must not keep machines idle.
+constexpr Micros kMaxQuotaReservationWait{60'000'000};
 
 bool accepted_before(const JobEntry* left, const JobEntry* right) {
     return std::tie(left->job.accepted, left->job.id) < std::tie(right->job.accepted, right->job.id);
@@ -53,7 +53,7 @@
 bool FairShareRanking::counts_as_reserved(const JobEntry& entry) {
     if (entry.job.kind != JobKind::array || entry.job.cancelled || entry.unstarted() == 0) return false;
     const PlacementInput& input = trial_.input();
-    if (input.wall_clock_now - entry.job.accepted > kReservedFor) return false;
+    if (input.wall_clock_now - entry.job.accepted > kMaxQuotaReservationWait) return false;
     return input.teams->contains(entry.job.team) && within_quota(entry.job);
 }
 
@@ -63,12 +63,12 @@
         ReservedCpus& reserved = reserved_[entry.job.team];
         const double waiting = entry.job.resources.cpus * entry.unstarted();
         reserved.any += waiting;
-        if (!entry.job.spot) reserved.ordinary += waiting;
+        if (!entry.job.spot) reserved.on_demand += waiting;
     }
     for (auto& [name, reserved] : reserved_) {
         const double quota = trial_.input().teams->at(name).cpus;
         const double unused_quota = std::max(0.0, quota - trial_.team_use(name).cpus);
-        reserved = {std::min(reserved.any, unused_quota), std::min(reserved.ordinary, unused_quota)};
+        reserved = {std::min(reserved.any, unused_quota), std::min(reserved.on_demand, unused_quota)};
     }
 }
 
@@ -81,21 +81,21 @@
     for (const auto& [name, reserved] : reserved_) {
         if (name == team) continue;
         sum.any += reserved.any;
-        sum.ordinary += reserved.ordinary;
+        sum.on_demand += reserved.on_demand;
     }
     return sum;
 }
 
-bool FairShareRanking::leaves_quota_reservations(const Job& job, std::size_t machine) {
+bool FairShareRanking::respects_quota_reservations(const Job& job, std::size_t machine) {
     const Priority priority = effective_priority(job, trial_.input().pipelines);
     if (job.kind != JobKind::array || priority == Priority::production || within_quota(job)) return true;
     const ReservedCpus reserved = reserved_for_others(job.team);
     if (reserved.any <= kResourceTolerance) return true;
     const bool spot = trial_.capacity().machines()[machine].spot;
-    const double ordinary = trial_.free_ordinary_cpus() - (spot ? 0 : job.resources.cpus);
+    const double on_demand = trial_.free_on_demand_cpus() - (spot ? 0 : job.resources.cpus);
     const double left = trial_.free_spot_cpus() - (spot ? job.resources.cpus : 0) +
-                        std::max(0.0, ordinary - reserved.ordinary);
-    return (spot || ordinary >= reserved.ordinary) && left >= reserved.any - reserved.ordinary;
+                        std::max(0.0, on_demand - reserved.on_demand);
+    return (spot || on_demand >= reserved.on_demand) && left >= reserved.any - reserved.on_demand;
 }
 
 }  // namespace hatchwind::core
--- a/src/core/fair_share_ranking.hpp
+++ b/src/core/fair_share_ranking.hpp
@@ -1,5 +1,5 @@
-/// Fair share: which jobs their team's quota covers, which job may preempt which, and what work beyond a
-/// quota must leave free for others.
+/// Fair share: which jobs are within their team's quota, which job may preempt which, and how much capacity
+/// jobs beyond a quota must leave to other teams.
 #pragma once
 
 #include <map>
@@ -10,9 +10,10 @@
 
 namespace hatchwind::core {
 
-/// Order of jobs for preemption: production, then what a quota covers, then the rest; by priority among
-/// equals. A job preempts only what ranks lower. Were priority alone and quota alone each enough, two teams
-/// with one each would preempt one another's tasks for ever.
+/// Rank of a job for preemption: production first, then jobs within a quota, then the rest; by priority
+/// within a tier. A job preempts only jobs of lower rank. If either a higher priority or an unused quota were
+/// enough, a high-priority job beyond its quota and a low-priority job within its quota would preempt each
+/// other's tasks indefinitely.
 struct PreemptionRank {
     /// In ascending order.
     enum class Tier : std::uint8_t { beyond_quota, within_quota, production };
@@ -26,24 +27,24 @@
   public:
     explicit FairShareRanking(const PlacementTrial& trial) : trial_(trial) {}
 
-    /// The quota covers the job: it and the team's earlier unfinished jobs fit into the quota together. A
-    /// team with a longer queue than that has no right to others' running work.
+    /// Returns true if the job and the team's earlier unfinished jobs together fit into the team's quota. A
+    /// team whose queue exceeds its quota has no claim on other teams' running tasks.
     bool within_quota(const Job& job);
-    /// Rank with the priority that the job inherits, where others need it.
+    /// Returns the job's rank with its own or its inherited priority.
     PreemptionRank rank(const Job& job);
-    /// Rank with this priority in place of the job's.
+    /// Returns the job's rank with `priority` in place of its own.
     PreemptionRank rank(const Job& job, Priority priority);
-    /// A task of this job on this machine leaves free what is reserved for other teams. Without this rule
-    /// each shard filled freed capacity from its own queue, and the others preempted that again within
-    /// seconds: on a full fleet a fifth of all starts was lost so.
-    bool leaves_quota_reservations(const Job& job, std::size_t machine);
+    /// Returns true if a task of the job on this machine leaves free the capacity that is reserved for other
+    /// teams. Without this rule each shard fills freed capacity from its own queue, and other shards preempt
+    /// those tasks within seconds: when all machines were full, a fifth of all starts was lost this way.
+    bool respects_quota_reservations(const Job& job, std::size_t machine);
 
   private:
-    // Free capacity that teams wait for within their quotas: CPUs on any machine, and the part of them
-    // for which only on-demand machines will do. Services preempt for theirs, and at once.
+    // Free CPUs reserved for teams with jobs waiting within their quotas: on any machine, and the part that
+    // must be on on-demand machines. Services are not counted, since they preempt at once.
     struct ReservedCpus {
         double any = 0;
-        double ordinary = 0;
+        double on_demand = 0;
     };
     void find_jobs_within_quota();
     void find_reserved();
@@ -53,7 +54,7 @@
     const PlacementTrial& trial_;
     std::unordered_set<std::string> within_quota_;
     bool quota_known_ = false;
-    std::map<std::string, ReservedCpus> reserved_;  // by team, as it was when it was first asked for
+    std::map<std::string, ReservedCpus> reserved_;  // by team, computed on first use
     bool reserved_known_ = false;
 };
 
--- a/src/core/free_capacity.cpp
+++ b/src/core/free_capacity.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Recorded attempts use capacity unless the worker says that they have ended.
+// Sums the resources of the recorded attempts. An attempt counts unless the worker has reported its end.
 Resources used_on(const MachineView& view, const RecordedAttempts& recorded_attempts) {
     Resources used;
     for (const auto& [ref, recorded] : recorded_attempts) {
@@ -38,14 +38,14 @@
     return machine;
 }
 
-// What recorded attempts use on each machine, taken from the cache where nothing has changed. Machines have
-// to be asked for in ascending order, so that one walk over the cache serves all of them.
+// Resources that recorded attempts use on each machine, taken from the cache for machines that have not
+// changed. Machines must be requested in ascending order of ids, so that the cache is traversed once.
 class UsedCapacity {
   public:
-    // `cache` may be null: then everything is computed anew.
+    // `cache` may be null; then all sums are computed.
     UsedCapacity(FreeCapacityCache* cache, std::size_t machine_count) : cache_(cache) {
         if (cache_ == nullptr) return;
-        uses_ = std::move(cache_->spare_uses);
+        uses_ = std::move(cache_->uses_buffer);
         uses_.clear();
         uses_.reserve(machine_count);
         next_known_ = cache_->uses.cbegin();
@@ -59,10 +59,10 @@
         return used;
     }
 
-    // Leaves what was computed to the next pass.
+    // Stores the computed sums for the next pass.
     void store() {
         if (cache_ == nullptr) return;
-        cache_->spare_uses = std::move(cache_->uses);
+        cache_->uses_buffer = std::move(cache_->uses);
         cache_->uses = std::move(uses_);
     }
 
@@ -89,11 +89,11 @@
                                  const Catalog& catalog, const Availability& availability,
                                  FreeCapacityCache* cache) {
     FreeCapacity capacity;
-    if (cache != nullptr) capacity.machines_ = std::move(cache->spare_machines);
+    if (cache != nullptr) capacity.machines_ = std::move(cache->machines_buffer);
     capacity.machines_.clear();
     capacity.machines_.reserve(cluster_view.machines().size());
     UsedCapacity used_capacity{cache, cluster_view.machines().size()};
-    // Both are in the order of machine ids: one walk over each.
+    // Both containers are ordered by machine id, so each is traversed once.
     auto recorded = job_table.by_machine().begin();
     const auto recorded_end = job_table.by_machine().end();
     for (const auto& [id, view] : cluster_view.machines()) {
@@ -108,13 +108,13 @@
         capacity.machines_.push_back(std::move(machine));
     }
     used_capacity.store();
-    capacity.sorted_ = capacity.machines_.size();
+    capacity.sorted_count_ = capacity.machines_.size();
     capacity.mark_restrictions(availability);
     return capacity;
 }
 
 void FreeCapacity::mark_restrictions(const Availability& availability) {
-    // These sets are small beside the fleet, so each id is searched for.
+    // These sets are small compared with the number of machines, so each id is looked up.
     for (const auto& id : availability.draining) {
         if (MachineCapacity* machine = find_mutable(id)) {
             machine->draining = true;
@@ -122,7 +122,7 @@
         }
     }
     for (const auto& id : availability.candidates) {
-        if (MachineCapacity* machine = find_mutable(id)) machine->candidate = true;
+        if (MachineCapacity* machine = find_mutable(id)) machine->drain_candidate = true;
     }
     for (const auto& [id, until] : availability.banned_until) {
         if (until <= availability.now) continue;
@@ -131,31 +131,31 @@
 }
 
 void FreeCapacity::recycle(FreeCapacityCache& cache) {
-    cache.spare_machines = std::move(machines_);
+    cache.machines_buffer = std::move(machines_);
     machines_.clear();
-    sorted_ = 0;
+    sorted_count_ = 0;
     changes_.clear();
 }
 
-std::size_t FreeCapacity::at(const std::string& id) const {
-    const auto sorted_end = machines_.begin() + static_cast<std::ptrdiff_t>(sorted_);
+std::size_t FreeCapacity::position_of(const std::string& id) const {
+    const auto sorted_end = machines_.begin() + static_cast<std::ptrdiff_t>(sorted_count_);
     const auto found = std::lower_bound(
         machines_.begin(), sorted_end, id,
         [](const MachineCapacity& machine, const std::string& wanted) { return machine.id < wanted; });
     if (found != sorted_end && found->id == id) return static_cast<std::size_t>(found - machines_.begin());
-    for (std::size_t position = sorted_; position < machines_.size(); ++position) {
+    for (std::size_t position = sorted_count_; position < machines_.size(); ++position) {
         if (machines_[position].id == id) return position;
     }
     return npos;
 }
 
 const MachineCapacity* FreeCapacity::find(const std::string& id) const {
-    const auto position = at(id);
+    const auto position = position_of(id);
     return position == npos ? nullptr : &machines_[position];
 }
 
 MachineCapacity* FreeCapacity::find_mutable(const std::string& id) {
-    const auto position = at(id);
+    const auto position = position_of(id);
     return position == npos ? nullptr : &machines_[position];
 }
 
@@ -182,7 +182,7 @@
 
 ZoneUse ZoneUse::of(const JobEntry& entry, const FreeCapacity& capacity) {
     ZoneUse use;
-    // Without a rule on zones nobody asks.
+    // The counts are needed for zone rules only.
     if (!entry.job.spread && !entry.job.one_zone) return use;
     for (const auto& [index, chunk] : entry.chunks) {
         for (const auto& [task, attempt] : chunk.open) {
--- a/src/core/gang_placement.cpp
+++ b/src/core/gang_placement.cpp
@@ -8,43 +8,44 @@
 
 namespace {
 
-// Keeps whole zones out of the search; they are as they were when it ends.
-class ZoneClosure {
+// Excludes whole zones from the search; the destructor makes their machines usable again.
+class ZoneExclusion {
   public:
-    explicit ZoneClosure(FreeCapacity& capacity) : capacity_(capacity) {}
-    ZoneClosure(const ZoneClosure&) = delete;
-    ZoneClosure& operator=(const ZoneClosure&) = delete;
-    ~ZoneClosure() {
-        for (MachineCapacity* machine : closed_) machine->usable = true;
+    explicit ZoneExclusion(FreeCapacity& capacity) : capacity_(capacity) {}
+    ZoneExclusion(const ZoneExclusion&) = delete;
+    ZoneExclusion& operator=(const ZoneExclusion&) = delete;
+    ~ZoneExclusion() {
+        for (MachineCapacity* machine : excluded_) machine->usable = true;
     }
-    void close(const std::string& zone) {
+    void exclude(const std::string& zone) {
         for (auto& machine : capacity_.machines()) {
             if (machine.zone != zone || !machine.usable) continue;
             machine.usable = false;
-            closed_.push_back(&machine);
+            excluded_.push_back(&machine);
         }
     }
 
   private:
     FreeCapacity& capacity_;
-    std::vector<MachineCapacity*> closed_;
+    std::vector<MachineCapacity*> excluded_;
 };
 
 }  // namespace
 
 void GangPlacement::place(const JobEntry& entry) {
     if (entry.done != 0) {
-        // One is done, so all are: what was lost before it could say so ends as soon as it is started.
+        // If one task is done, all are: a task that was lost before it could report its end exits as soon as
+        // it is restarted.
         tasks_.place_all(entry);
     } else if (entry.open != 0) {
         replace_lost_tasks(entry);
     } else {
-        start_whole(entry);
+        start_all_or_none(entry);
     }
 }
 
-bool GangPlacement::start_best(const JobEntry& entry, ZoneUse& zones, std::uint32_t task,
-                               std::uint64_t attempt) {
+bool GangPlacement::start_on_best_machine(const JobEntry& entry, ZoneUse& zones, std::uint32_t task,
+                                          std::uint64_t attempt) {
     const auto machine = search_.best(entry, zones, task);
     if (!machine) return false;
     zones.add(trial_.capacity().machines()[*machine].zone);
@@ -55,26 +56,26 @@
 bool GangPlacement::start_all_tasks(const JobEntry& entry, ZoneUse& zones) {
     const std::uint64_t attempt = entry.last_attempt() + 1;
     for (std::uint32_t task = 0; task < entry.job.tasks; ++task) {
-        if (!start_best(entry, zones, task, attempt)) return false;
+        if (!start_on_best_machine(entry, zones, task, attempt)) return false;
     }
     return true;
 }
 
-void GangPlacement::start_whole(const JobEntry& entry) {
+void GangPlacement::start_all_or_none(const JobEntry& entry) {
     if (!trial_.within_limit(entry.job, entry.job.tasks)) return;
-    ZoneClosure closure{trial_.capacity()};
+    ZoneExclusion exclusion{trial_.capacity()};
     const auto savepoint = trial_.savepoint(entry.job.team);
     while (true) {
         ZoneUse zones;
         if (start_all_tasks(entry, zones)) return;
         trial_.roll_back(savepoint);
         if (!entry.job.one_zone || zones.by_zone.empty()) return;
-        // The zone of the first task is too small: begin again without it.
-        closure.close(zones.by_zone.begin()->first);
+        // The zone of the first task is too small: retry without it.
+        exclusion.exclude(zones.by_zone.begin()->first);
     }
 }
 
-std::optional<std::uint64_t> GangPlacement::attempt_not_begun(const JobEntry& entry) const {
+std::optional<std::uint64_t> GangPlacement::unstarted_attempt(const JobEntry& entry) const {
     std::uint64_t number = 0;
     for (const auto& [index, chunk] : entry.chunks) {
         for (const auto& [task, attempt] : chunk.open) {
@@ -90,12 +91,12 @@
 }
 
 void GangPlacement::replace_lost_tasks(const JobEntry& entry) {
-    const auto attempt = attempt_not_begun(entry);
+    const auto attempt = unstarted_attempt(entry);
     if (!attempt) return;
     ZoneUse zones = ZoneUse::of(entry, trial_.capacity());
     for (const std::uint32_t task : unstarted_tasks(entry, entry.job.tasks)) {
         if (!trial_.within_limit(entry.job)) return;
-        if (!start_best(entry, zones, task, *attempt)) return;
+        if (!start_on_best_machine(entry, zones, task, *attempt)) return;
     }
 }
 
--- a/src/core/overdue_gang_preemption.hpp
+++ b/src/core/overdue_gang_preemption.hpp
@@ -1,5 +1,5 @@
 /// Preemption for an overdue gang: stops lower-priority tasks of the gang's own team, so that the gang fits
-/// its team's limit and finds capacity for all its tasks at once.
+/// into the team's limit and all its tasks find capacity at once.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 namespace hatchwind::core {
 
-/// Plans and stops within one placement pass.
+/// Plans and stops tasks for overdue gangs within one placement pass.
 ///
-/// An overdue gang keeps its team's other jobs from starting until it fits the team's limit. Without these
-/// stops it waited for long tasks to end, and the whole team waited with it beside free machines
+/// An overdue gang keeps its team's other jobs from starting until it fits into the team's limit. Without
+/// preemption the gang, and with it the whole team, would wait for long tasks to end while machines are free
 /// (GangAtTheTeamsLimit.StopsLowerPriorityTasksOfItsOwnTeam).
 class OverdueGangPreemption {
   public:
     explicit OverdueGangPreemption(PlacementTrial& trial) : trial_(trial) {}
 
-    /// Stops what the gang needs and reserves the machines for it; changes nothing when the lower-priority
-    /// tasks of its team are not enough. None of the gang's tasks may be open.
-    void make_room(const JobEntry& gang);
+    /// Stops the tasks whose capacity the gang needs and reserves their machines for it. Does nothing if
+    /// stopping all lower-priority tasks of its team would not suffice. The gang must have no open tasks.
+    void preempt_for(const JobEntry& gang);
 
   private:
     /// A task that may be stopped for the gang.
@@ -31,15 +31,16 @@
         std::uint32_t task = 0;
         std::uint64_t attempt = 0;
         std::size_t machine = 0;  ///< position in the free capacity
-        bool fetching = false;    ///< nothing is lost by its stop
+        bool fetching = false;    ///< the task has not begun to run, so stopping it loses no work
     };
-    /// What of the team runs where, as far as it matters for one gang.
+    /// Lower-priority tasks of the gang's team, by the machine on which they run.
     struct TeamTasks {
-        std::map<std::size_t, std::vector<Victim>> victims;  ///< by machine, the least loss first
-        std::map<std::size_t, Resources> leaving;            ///< by machine: told to stop, and not gone yet
-        Resources leaving_sum;
+        std::map<std::size_t, std::vector<Victim>> victims;  ///< by machine, in ascending order of lost work
+        /// By machine: resources of tasks that are being stopped already.
+        std::map<std::size_t, Resources> stopping;
+        Resources stopping_sum;
     };
-    /// Which machines the gang's tasks get, and who is stopped for that.
+    /// Machines for the gang's tasks, and the tasks to stop for them.
     struct Plan {
         std::vector<std::size_t> machines;  ///< one for each task of the gang
         std::vector<Victim> victims;
@@ -47,14 +48,14 @@
 
     class ZonePlanner;
 
-    TeamTasks tasks_below(const JobEntry& gang) const;
+    TeamTasks lower_priority_tasks(const JobEntry& gang) const;
     void add_tasks_of(std::size_t machine, const JobEntry& gang, TeamTasks& tasks) const;
-    static bool loses_less(const Victim& left, const Victim& right);
-    bool may_be_stopped(const Job& victim, const Job& gang) const;
+    static bool loses_less_work(const Victim& left, const Victim& right);
+    bool may_be_preempted(const Job& victim, const Job& gang) const;
     std::vector<std::string> zones_for(const Job& gang) const;
-    /// Adds victims until the gang fits the team's limit; false when there are not enough.
-    bool meet_limit(const JobEntry& gang, const TeamTasks& tasks, Plan& plan) const;
-    void carry_out(const JobEntry& gang, const Plan& plan);
+    /// Adds victims until the gang fits into the team's limit. Returns false if there are not enough.
+    bool fit_team_limit(const JobEntry& gang, const TeamTasks& tasks, Plan& plan) const;
+    void apply(const JobEntry& gang, const Plan& plan);
 
     PlacementTrial& trial_;
 };
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -32,24 +32,26 @@
         const PlacementInput& input = trial_.input();
         const auto queue = queue_order(*input.job_table, input.own_teams, *input.objectives,
                                        input.wall_clock_now, input.pipelines);
-        begin_overdue(overdue_jobs(queue, input.wall_clock_now));
-        reserve_for_overdue_of_peers();
+        start_overdue_jobs(overdue_jobs(queue, input.wall_clock_now));
+        apply_peer_overdue_reservations();
         place_queue(queue);
         return std::move(trial_.result());
     }
 
   private:
-    // What has waited too long begins first, each with one task, the longest wait first; capacity that it
-    // does not find is reserved for it, so that neither small nor urgent work takes what is freed.
-    void begin_overdue(const std::vector<const JobEntry*>& overdue) {
+    // Starts one task of each overdue job before the queue is placed, the job with the longest wait first.
+    // Capacity that is missing is reserved for the job, so that neither smaller nor more urgent jobs take
+    // what is freed.
+    void start_overdue_jobs(const std::vector<const JobEntry*>& overdue) {
         for (const JobEntry* entry : overdue) {
             if (trial_.full()) break;
-            if (!backed_off(*entry)) begin(*entry);
+            if (!in_backoff(*entry)) start_overdue_job(*entry);
         }
     }
 
-    // Overdue jobs of different shards may try for the same capacity; only other jobs keep away from it.
-    void reserve_for_overdue_of_peers() {
+    // Applied only after this shard's overdue jobs: overdue jobs of different shards may compete for the same
+    // capacity, but other jobs must not use it.
+    void apply_peer_overdue_reservations() {
         for (const auto& reservation : trial_.input().peer_reservations) {
             if (reservation.for_overdue_job) trial_.reserve(reservation);
         }
@@ -61,31 +63,31 @@
                 ++trial_.result().deferred;
                 continue;
             }
-            if (backed_off(*entry)) continue;
+            if (in_backoff(*entry)) continue;
             if (entry->job.kind != JobKind::gang) {
                 tasks_.place_all(*entry);
-            } else if (!begun_.contains(entry)) {
+            } else if (!tried_overdue_jobs_.contains(entry)) {
                 gangs_.place(*entry);
             }
         }
     }
 
-    bool backed_off(const JobEntry& entry) const {
+    bool in_backoff(const JobEntry& entry) const {
         const auto& backoff = trial_.input().job_backoff;
         const auto until = backoff.find(entry.job.id);
         return until != backoff.end() && until->second > trial_.input().now;
     }
 
-    // First task of an overdue job, or all of an overdue gang.
-    void begin(const JobEntry& entry) {
-        begun_.insert(&entry);
+    // Starts the first task of an overdue job, or all tasks of an overdue gang.
+    void start_overdue_job(const JobEntry& entry) {
+        tried_overdue_jobs_.insert(&entry);
         const bool gang = entry.job.kind == JobKind::gang;
         const std::uint32_t tasks = gang ? entry.job.tasks : 1;
         if (!trial_.within_limit(entry.job, tasks)) {
-            // The team's later jobs would take what its limit leaves, for ever. Where its services alone keep
-            // this one out, waiting with it serves nobody.
-            if (!trial_.within_limit_beside_services(entry.job, tasks)) return;
-            if (gang) overdue_gangs_.make_room(entry);
+            // Later jobs of the team would otherwise use up its limit for ever. If the team's services alone
+            // leave too little of the limit for this job, holding back the other jobs would not help it.
+            if (!trial_.within_limit_if_only_services_run(entry.job, tasks)) return;
+            if (gang) overdue_gangs_.preempt_for(entry);
             trial_.charge_team(entry.job.team, entry.job.resources * static_cast<double>(tasks));
             return;
         }
@@ -107,7 +109,7 @@
     TaskPlacement tasks_;
     GangPlacement gangs_;
     OverdueGangPreemption overdue_gangs_;
-    std::unordered_set<const JobEntry*> begun_;
+    std::unordered_set<const JobEntry*> tried_overdue_jobs_;
 };
 
 }  // namespace
--- a/src/core/placement.hpp
+++ b/src/core/placement.hpp
@@ -1,6 +1,6 @@
-/// Placement: which task starts where, as a pure pass over the queue and the free capacity. The steps of the
-/// pass are modules of their own: queue ordering, candidate search, fair share, preemption, capacity
-/// reservations, and the placement of tasks and gangs.
+/// Placement: decides which task starts on which machine, as a pure pass over the queue and the free
+/// capacity. Each step of the pass is a module: queue ordering, candidate search, fair share, preemption,
+/// capacity reservations, and the placement of tasks and gangs.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
     Attempt attempt;
 };
 
-/// A task to preempt. `grace_s`: seconds that it has to write a checkpoint.
+/// A task to preempt. `grace_s`: seconds that the task has to write a checkpoint.
 struct Stop {
     std::string job;
     std::uint32_t task = 0;
@@ -31,45 +31,48 @@
     double grace_s = 0;
 };
 
-/// Capacity that is kept for one task: usually others were stopped for it. Nobody else may take it until
-/// then.
+/// Capacity reserved for one task, usually because other tasks were preempted for it. No other task may use
+/// it before `until`.
 struct Reservation {
     std::string machine;
     Resources resources;
     Micros until{};  ///< monotonic clock
-    /// Nothing was stopped for it: an overdue job waits for what is freed. Made anew in each pass, the oldest
-    /// job first; reservations that lasted let two jobs keep each other from one machine for ever.
+    /// True if no task was preempted for this reservation: an overdue job waits for capacity that other tasks
+    /// free. Such reservations are computed in each pass, for the oldest job first. If they persisted between
+    /// passes, two jobs could keep each other from the same machine for ever.
     bool for_overdue_job = false;
 };
 
-/// What a pass decides by. Pointers are not null unless said otherwise, and outlive the pass.
+/// Input of a placement pass. Pointers are not null unless said otherwise, and must outlive the pass.
 struct PlacementInput {
     const JobTable* job_table = nullptr;
     const ClusterView* cluster_view = nullptr;
     const std::map<std::string, Team>* teams = nullptr;
     const std::vector<Objective>* objectives = nullptr;
-    const PipelineSchedule* pipelines = nullptr;  ///< null: no job waits for others
+    const PipelineSchedule* pipelines = nullptr;  ///< null if no job depends on others
     std::set<std::string> own_teams;
-    std::map<std::string, Micros> job_backoff;  ///< monotonic clock: until when the job's tasks are not tried
+    /// No task of the job is placed before this time (monotonic clock).
+    std::map<std::string, Micros> job_backoff;
     std::map<TaskRef, Reservation> reservations;
     std::vector<Reservation> peer_reservations;  ///< reservations of other controllers
-    std::set<TaskRef> stopping;                  ///< preempted, and not gone yet
+    std::set<TaskRef> stopping;                  ///< preempted tasks that have not ended yet
     Micros now{};                                ///< monotonic clock
     Micros wall_clock_now{};                     ///< wall clock
     std::size_t most_starts = 48;
     std::size_t most_stops = 8;
-    std::size_t most_records = 48;  ///< store records that the starts may touch
+    std::size_t most_records = 48;  ///< store records that the starts may change
 };
 
-/// What a pass decided.
+/// Decisions of a placement pass.
 struct PlacementResult {
     std::vector<Start> starts;
     std::vector<Stop> stops;
     std::map<TaskRef, Reservation> reservations;
-    std::size_t deferred = 0;  ///< jobs that were not tried, since the pass was full
+    std::size_t deferred = 0;  ///< jobs not tried because the pass had reached a limit
 };
 
-/// One pass: decides starts, stops and reservations, and takes what they use out of `capacity`.
+/// Runs one pass: decides starts, stops and reservations, and subtracts the capacity that they use from
+/// `capacity`.
 PlacementResult place(const PlacementInput& input, FreeCapacity& capacity);
 
 }  // namespace hatchwind::core
--- a/src/core/placement_trial.cpp
+++ b/src/core/placement_trial.cpp
@@ -6,12 +6,12 @@
 
 PlacementTrial::PlacementTrial(const PlacementInput& input, FreeCapacity& capacity)
     : input_(input), capacity_(capacity) {
-    reserve_known();
+    apply_known_reservations();
     for (const auto& [name, team] : *input.teams) team_use_[name] = input.job_table->team_use(name);
     count_free_cpus();
 }
 
-void PlacementTrial::reserve_known() {
+void PlacementTrial::apply_known_reservations() {
     for (const auto& [task, reservation] : input_.reservations) {
         if (reservation.until <= input_.now || reservation.for_overdue_job) continue;
         result_.reservations.emplace(task, reservation);
@@ -25,7 +25,7 @@
 void PlacementTrial::count_free_cpus() {
     for (const auto& machine : capacity_.machines()) {
         if (!machine.usable || machine.draining) continue;
-        double& sum = machine.spot ? free_spot_cpus_ : free_ordinary_cpus_;
+        double& sum = machine.spot ? free_spot_cpus_ : free_on_demand_cpus_;
         sum += std::max(0.0, machine.free.cpus);
     }
 }
@@ -37,11 +37,12 @@
 bool PlacementTrial::within_limit(const Job& job, std::uint32_t more_tasks) const {
     const auto known = team_use_.find(job.team);
     Resources use = known == team_use_.end() ? Resources{} : known->second;
-    if (const auto stopped = stopped_.find(job.team); stopped != stopped_.end()) use += stopped->second;
+    if (const auto stopped = stopped_use_.find(job.team); stopped != stopped_use_.end())
+        use += stopped->second;
     return fits_limit(job, use, more_tasks);
 }
 
-bool PlacementTrial::within_limit_beside_services(const Job& job, std::uint32_t more_tasks) const {
+bool PlacementTrial::within_limit_if_only_services_run(const Job& job, std::uint32_t more_tasks) const {
     Resources use;
     for (const auto& [id, entry] : input_.job_table->jobs()) {
         const bool service = entry.job.kind == JobKind::service && !entry.job.cancelled;
@@ -55,7 +56,7 @@
                           double grace_s) {
     const MachineCapacity& host = capacity_.machines()[machine];
     team_use_[job.team] -= job.resources;
-    stopped_[job.team] += job.resources;
+    stopped_use_[job.team] += job.resources;
     result_.stops.push_back({job.id, task, {attempt, host.id, host.incarnation}, grace_s});
 }
 
@@ -70,7 +71,7 @@
                            std::size_t machine) {
     const MachineCapacity& chosen = capacity_.machines()[machine];
     capacity_.take(machine, entry.job.resources);
-    (chosen.spot ? free_spot_cpus_ : free_ordinary_cpus_) -= entry.job.resources.cpus;
+    (chosen.spot ? free_spot_cpus_ : free_on_demand_cpus_) -= entry.job.resources.cpus;
     charge_team(entry.job.team, entry.job.resources);
     result_.starts.push_back({entry.job.id, task, {attempt, chosen.id, chosen.incarnation}});
     started_.insert({entry.job.id, task});
@@ -81,12 +82,12 @@
     const MachineView* view = capacity_.machines()[machine].view;
     const TaskStatus* listed = view == nullptr ? nullptr : view->task(entry.job.id, task);
     if (listed == nullptr) return false;
-    // A gang's replacement has the attempt number that its worker knows as exited.
+    // A replacement in a gang reuses the attempt number that the worker lists as exited.
     return listed->state != TaskState::exited || entry.job.kind == JobKind::gang;
 }
 
-void PlacementTrial::take_reserved(const Reservation& reservation, double sign) {
-    const auto machine = capacity_.at(reservation.machine);
+void PlacementTrial::change_reserved(const Reservation& reservation, double sign) {
+    const auto machine = capacity_.position_of(reservation.machine);
     if (machine != FreeCapacity::npos) capacity_.take(machine, reservation.resources * sign);
 }
 
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -1,4 +1,4 @@
-/// Preemption: chooses running tasks to stop so that a task of higher rank finds free capacity.
+/// Preemption: chooses running tasks to stop so that a task of higher rank gets free capacity.
 #pragma once
 
 #include <optional>
@@ -11,20 +11,21 @@
 
 namespace hatchwind::core {
 
-/// Seconds that a task of the job gets to write a checkpoint when it is stopped; 0 when it never saves.
-double grace_to_save_s(const Job& stopped);
+/// Returns the seconds that a task of the job gets to write a checkpoint when it is stopped; 0 if the job
+/// writes no checkpoints.
+double checkpoint_grace_s(const Job& stopped);
 
 /// Preempts within one placement pass.
 class Preemption {
   public:
     Preemption(PlacementTrial& trial, FairShareRanking& ranking);
 
-    /// Stops what is needed for the task and reserves the capacity for it; false when nothing suits.
-    /// `with_image`: only on machines that have the job's image.
+    /// Stops the tasks whose capacity the given task needs and reserves that capacity for it. Returns false
+    /// if no suitable tasks are found. `with_image`: consider only machines that have the job's image.
     bool preempt(const JobEntry& entry, const ZoneUse& zones, std::uint32_t task, bool with_image = false);
 
   private:
-    // In ascending order: the victim whose stop loses least comes first.
+    // In ascending order: the victim with the lowest cost is stopped first.
     struct VictimCost {
         int priority = 0;
         int lost_work = 0;
@@ -37,8 +38,8 @@
         std::uint64_t attempt = 0;
         VictimCost cost;
         PreemptionRank rank;
-        const Resources* team_use = nullptr;  // what its team uses in this pass
-        const Team* team = nullptr;           // and its quota
+        const Resources* team_use = nullptr;  // resources that the victim's team uses in this pass
+        const Team* team = nullptr;           // the victim's team, with its quota
         bool stopping = false;
     };
     struct PlanCost {
@@ -54,7 +55,7 @@
         std::vector<Victim*> victims;
         PlanCost cost;
     };
-    // The task that needs capacity.
+    // The task for which capacity is needed.
     struct Request {
         const JobEntry& entry;
         const ZoneUse& zones;
@@ -71,27 +72,28 @@
     };
 
     bool may_preempt_yet(const Job& job) const;
-    Priority inherited_or_own(const Job& job) const;
-    // The priority with which the job preempts others.
-    Priority stopping_priority(const Job& job) const;
-    static bool may_stop(const Job& job, const PreemptionRank& rank, const Victim& victim);
-    bool may_host(const Request& request, const MachineCapacity& machine) const;
-    // The cheapest plan; without victims when there is none.
+    Priority priority_of(const Job& job) const;
+    // Priority that the job has when it preempts others. It may be lower than its inherited priority.
+    Priority preemption_priority(const Job& job) const;
+    static bool may_preempt(const Job& job, const PreemptionRank& rank, const Victim& victim);
+    bool is_suitable_host(const Request& request, const MachineCapacity& machine) const;
+    // Returns the cheapest plan; it has no victims if none was found.
     Plan cheapest_plan(const Request& request);
     Plan plan_on(std::size_t machine, const Request& request);
-    // What runs on the machine and might be stopped for somebody: the same for every job of a pass.
-    std::vector<Victim>& stoppable(std::size_t machine);
-    std::vector<Victim> find_stoppable(const MachineCapacity& machine);
-    bool never_stopped(const TaskRef& task, const Job& job) const;
+    // Returns the tasks on the machine that can be preempted at all, independent of the requesting job;
+    // computed once per pass.
+    std::vector<Victim>& preemptible_tasks(std::size_t machine);
+    std::vector<Victim> find_preemptible_tasks(const MachineCapacity& machine);
+    bool is_exempt(const TaskRef& task, const Job& job) const;
     VictimCost victim_cost(const JobEntry& entry, TaskState state) const;
-    // Returns the longest grace period of the stops, in seconds.
+    // Returns the longest grace period of the stopped tasks, in seconds.
     double stop_victims(const Plan& plan, const Job& job);
 
     PlacementTrial& trial_;
     FairShareRanking& ranking_;
     Micros preemption_delay_{};
-    std::set<SearchKey> without_victims_;
-    std::vector<std::optional<std::vector<Victim>>> victims_;  // by machine; none: not looked for yet
+    std::set<SearchKey> without_plan_;
+    std::vector<std::optional<std::vector<Victim>>> victims_;  // by machine; nullopt: not searched yet
 };
 
 }  // namespace hatchwind::core
--- a/src/core/scale_out_planner.cpp
+++ b/src/core/scale_out_planner.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// A task of unknown length counts as this long.
+// Assumed run time of a task without an estimate.
 constexpr double kUnknownTaskSeconds = 60;
-// An array's task never counts as shorter than this.
-constexpr double kLeastTaskSeconds = 1;
-// Keeps the price for each used CPU finite for tasks that request none.
-constexpr double kLeastUsedCpus = 1e-3;
+// Lower bound of the assumed run time of an array's task.
+constexpr double kMinTaskSeconds = 1;
+// Keeps the price per used CPU finite for tasks that request no CPUs.
+constexpr double kMinUsedCpus = 1e-3;
 
-// The estimate is the user's and may be missing.
+// The user's estimate may be missing.
 double task_seconds(const Job& job) { return job.estimate_s > 0 ? job.estimate_s : kUnknownTaskSeconds; }
 
 MachineCapacity new_machine(std::string id, const MachineType& type, const std::string& zone, bool spot) {
@@ -31,7 +31,7 @@
     return machine;
 }
 
-// The waiting job as it will be once it is released at that time of the wall clock.
+// Returns the entry that the waiting job will have once it is released at `released_at` (wall clock).
 JobEntry as_released(const Job& waiting, Micros released_at) {
     JobEntry entry;
     entry.job = waiting;
@@ -58,18 +58,19 @@
         for (const auto& [name, team] : *input_.teams) teams.insert(name);
         const auto queue = queue_order(*input_.job_table, teams, *input_.objectives, input_.wall_clock_now,
                                        input_.pipelines);
-        // Tasks that never end, and gangs, need capacity of their own now.
+        // Services run until they are cancelled, and gangs start all tasks at once, so both need their full
+        // capacity now.
         for (const JobEntry* entry : queue) {
             if (entry->job.kind != JobKind::array) place_all(*entry);
         }
-        // Arrays share capacity over time: as much as empties their backlog in the wanted time. What their
-        // running tasks will free within that time is capacity for the queue too.
-        free_shares_of_running();
-        first_with_capacity_.clear();  // there is capacity again
+        // Arrays share capacity over time: they get as much as starts their queue within the wanted time.
+        // Capacity that running array tasks free within that time is available to the queue too.
+        free_shares_of_running_tasks();
+        first_with_capacity_.clear();  // capacity has been added, so earlier machines may have some again
         for (const JobEntry* entry : queue) {
-            if (entry->job.kind == JobKind::array) place_share(*entry);
+            if (entry->job.kind == JobKind::array) place_array(*entry);
         }
-        scale_out_ahead();
+        scale_out_for_upcoming_releases();
         return std::move(requests_);
     }
 
@@ -98,7 +99,7 @@
                use.gpus + job.resources.gpus <= team.gpus_max + kResourceTolerance;
     }
 
-    // Places up to `limit` tasks on this machine; returns how many.
+    // Places up to `limit` tasks on this machine and returns how many were placed.
     std::uint32_t fill(const JobEntry& entry, ZoneUse& zones, std::size_t position, std::uint32_t limit) {
         const Job& job = entry.job;
         std::uint32_t placed = 0;
@@ -113,15 +114,17 @@
         return placed;
     }
 
-    // Places up to `wanted` tasks: on what there is, then on instances to request. Returns how many.
-    std::uint32_t place_some(const JobEntry& entry, ZoneUse& zones, std::uint32_t wanted) {
+    // Places up to `wanted` tasks, first on known machines, then on instances to request. Returns how many
+    // were placed.
+    std::uint32_t place_up_to(const JobEntry& entry, ZoneUse& zones, std::uint32_t wanted) {
         const std::uint32_t placed = place_on_known(entry, zones, wanted);
         if (!within_limit(entry.job)) return placed;
         return placed + place_on_requested(entry, zones, wanted - placed);
     }
 
     std::uint32_t place_on_known(const JobEntry& entry, ZoneUse& zones, std::uint32_t wanted) {
-        // Capacity only shrinks: a job of the same shape goes on where the last one stopped.
+        // Capacity only shrinks, so a job of the same shape continues at the machine where the last one
+        // stopped.
         std::size_t& first = first_with_capacity_[shape(entry.job)];
         std::uint32_t placed = 0;
         std::size_t position = first;
@@ -146,7 +149,7 @@
         return placed;
     }
 
-    // Returns the position of the machine that the instance will be.
+    // Returns the position of the requested machine in the free capacity.
     std::size_t request_instance(const InstancePool& pool) {
         ++requests_[pool];
         ++requested_;
@@ -156,7 +159,7 @@
             new_machine("planned-" + std::to_string(requested_), type, pool.zone, pool.spot));
     }
 
-    // The pool with the lowest price for each CPU that the queue would use of an instance.
+    // Returns the pool with the lowest price per CPU that the queue would use on one instance.
     std::optional<InstancePool> cheapest_pool(const Job& job, const ZoneUse& zones,
                                               double cpus_wanted) const {
         std::optional<PoolChoice> best;
@@ -173,16 +176,16 @@
         return best->pool;
     }
 
-    // Of pools with equal costs the one that was considered first stays the choice.
+    // Among pools with equal costs the one considered first is kept.
     void consider(const InstancePool& pool, double price, double cpus_used,
                   std::optional<PoolChoice>& best) const {
         const auto refused = input_.refused_until.find(pool);
         if (refused != input_.refused_until.end() && refused->second > input_.monotonic_now) return;
-        const PoolCost cost{price / std::max(cpus_used, kLeastUsedCpus), machines_in(pool.zone)};
+        const PoolCost cost{price / std::max(cpus_used, kMinUsedCpus), machines_in(pool.zone)};
         if (!best || cost < best->cost) best = PoolChoice{pool, cost};
     }
 
-    // A machine that could take a task of the job if it were empty.
+    // Returns true if some machine could take a task of the job when empty.
     bool has_suitable_machine(const Job& job) const {
         const auto& machines = capacity_.machines();
         return std::any_of(machines.begin(), machines.end(), [&](const MachineCapacity& machine) {
@@ -198,18 +201,20 @@
 
     void place_all(const JobEntry& entry) {
         ZoneUse zones = ZoneUse::of(entry, capacity_);
-        place_some(entry, zones, entry.unstarted());
+        place_up_to(entry, zones, entry.unstarted());
     }
 
-    // The part of the time until the job is due for which a task that runs `run_s` needs its place.
-    double time_share(const Job& job, double run_s) const {
+    // Returns the fraction of the time until the job is due for which a task that runs `run_s` seconds needs
+    // a slot.
+    double slot_share(const Job& job, double run_s) const {
         const Micros due = due_time(job, *input_.objectives, input_.wall_clock_now, input_.pipelines);
         const double slack_s = to_seconds(due - input_.wall_clock_now) - run_s;
         return std::min(1.0, run_s / std::max(slack_s * settings_.slack_share, settings_.least_queue_s));
     }
 
-    // Gives back the part of the wanted time that running tasks of arrays leave to the queue.
-    void free_shares_of_running() {
+    // Adds to the free capacity the fraction of the wanted time that remains for the queue after running
+    // array tasks end.
+    void free_shares_of_running_tasks() {
         std::unordered_map<const JobEntry*, double> freed_shares;
         for (std::size_t position = 0; position < capacity_.machines().size(); ++position) {
             const MachineCapacity& machine = capacity_.machines()[position];
@@ -218,34 +223,36 @@
                 const Job& job = recorded.entry->job;
                 if (job.kind != JobKind::array) continue;
                 const auto [share, is_new] = freed_shares.try_emplace(recorded.entry, 0);
-                // Half of its run is still to come, as far as anyone knows.
-                if (is_new) share->second = 1 - time_share(job, task_seconds(job) / 2);
+                // A running task is assumed to have half of its run time left.
+                if (is_new) share->second = 1 - slot_share(job, task_seconds(job) / 2);
                 capacity_.give(position, job.resources * share->second);
             }
         }
     }
 
-    void place_share(const JobEntry& entry) {
-        // A task that runs longer than the wanted time needs a place of its own at once; short ones queue.
-        const double share = time_share(entry.job, std::max(task_seconds(entry.job), kLeastTaskSeconds));
+    void place_array(const JobEntry& entry) {
+        // A task that runs longer than the wanted time needs its own slot at once; short tasks share slots
+        // one after the other.
+        const double share = slot_share(entry.job, std::max(task_seconds(entry.job), kMinTaskSeconds));
         ZoneUse zones = ZoneUse::of(entry, capacity_);
         if (!has_suitable_machine(entry.job)) {
-            // However short the queue: without any machine that could take it, it would wait for ever.
-            place_some(entry, zones, 1);
+            // One task is placed however short the queue is: without any suitable machine it would wait for
+            // ever.
+            place_up_to(entry, zones, 1);
             return;
         }
-        const double places = share * entry.unstarted();
-        // What has waited too long needs a place now, whatever the queue would leave it.
-        carried_places_ += must_begin(entry, input_.wall_clock_now) ? std::max(1.0, places) : places;
-        const auto whole_places = static_cast<std::uint32_t>(carried_places_);
-        if (whole_places == 0) return;
-        const auto placed = place_some(entry, zones, std::min(whole_places, entry.unstarted()));
-        carried_places_ -= placed;
-        if (placed < whole_places) carried_places_ = std::min(carried_places_, 1.0);
+        const double slots = share * entry.unstarted();
+        // An overdue job needs a slot now, even if its share is less than one.
+        carried_slots_ += is_overdue(entry, input_.wall_clock_now) ? std::max(1.0, slots) : slots;
+        const auto whole_slots = static_cast<std::uint32_t>(carried_slots_);
+        if (whole_slots == 0) return;
+        const auto placed = place_up_to(entry, zones, std::min(whole_slots, entry.unstarted()));
+        carried_slots_ -= placed;
+        if (placed < whole_slots) carried_slots_ = std::min(carried_slots_, 1.0);
     }
 
-    // Jobs that will be released soon, after all that is released already.
-    void scale_out_ahead() {
+    // Requests capacity for jobs that will be released soon, after all released jobs are served.
+    void scale_out_for_upcoming_releases() {
         if (input_.pipelines == nullptr || settings_.release_ahead_s <= 0) return;
         const Micros until = input_.wall_clock_now + from_seconds(settings_.release_ahead_s);
         for (const auto& release : input_.pipelines->upcoming()) {
@@ -253,7 +260,7 @@
             if (release.soonest > until || !input_.teams->contains(job.team_once_released)) continue;
             const JobEntry released = as_released(job, release.soonest);
             if (job.kind == JobKind::array) {
-                place_share(released);
+                place_array(released);
             } else {
                 place_all(released);
             }
@@ -264,12 +271,13 @@
     const ScaleOutInput& input_;
     FreeCapacity& capacity_;
     std::map<InstancePool, std::uint32_t> requests_;
-    std::size_t requested_ = 0;                            // instances of all pools
-    std::map<std::string, Resources> team_use_;            // with what this round has placed
-    std::map<std::string, std::size_t> machines_by_zone_;  // with what this round requests
-    std::map<Shape, std::size_t> first_with_capacity_;     // all machines before it have none for the shape
-    // Places that arrays need beyond those they got: the fractions of many short queues add up to whole ones.
-    double carried_places_ = 0;
+    std::size_t requested_ = 0;                            // number of instances requested from all pools
+    std::map<std::string, Resources> team_use_;            // including tasks placed in this round
+    std::map<std::string, std::size_t> machines_by_zone_;  // including instances requested in this round
+    // Machines before this position have no capacity for the shape.
+    std::map<Shape, std::size_t> first_with_capacity_;
+    // Slots that arrays need beyond those they got: the fractions of many short queues add up to whole slots.
+    double carried_slots_ = 0;
 };
 
 }  // namespace
--- a/src/core/task_placement.cpp
+++ b/src/core/task_placement.cpp
@@ -2,7 +2,7 @@
 
 namespace hatchwind::core {
 
-std::optional<double> TaskPlacement::longest_wait_s(const Job& job) const {
+std::optional<double> TaskPlacement::max_wait_s(const Job& job) const {
     std::optional<double> wait_s;
     for (const auto& objective : *trial_.input().objectives) {
         if (objective.kind == "wait" && objective.job_class == job.job_class) wait_s = objective.within_s;
@@ -10,21 +10,22 @@
     return wait_s;
 }
 
-ZoneUse& TaskPlacement::zones_of(const JobEntry& entry) {
-    const auto [known, fresh] = zones_.try_emplace(&entry);
-    if (fresh) known->second = ZoneUse::of(entry, trial_.capacity());
+ZoneUse& TaskPlacement::zone_use_of(const JobEntry& entry) {
+    const auto [known, is_new] = zones_.try_emplace(&entry);
+    if (is_new) known->second = ZoneUse::of(entry, trial_.capacity());
     return known->second;
 }
 
 void TaskPlacement::place(const JobEntry& entry, Extent extent) {
     JobSearch search{
-        entry, extent, zones_of(entry), longest_wait_s(entry.job), search_.ranked(entry.job),
+        entry, extent, zone_use_of(entry), max_wait_s(entry.job), search_.ranked(entry.job),
     };
     for (const std::uint32_t task : unstarted_tasks(entry, trial_.input().most_starts)) {
         if (trial_.full() || !trial_.within_limit(entry.job)) return;
-        if (trial_.started({entry.job.id, task})) continue;  // as the first task of a job that had to begin
+        // Started already as the first task of an overdue job.
+        if (trial_.started({entry.job.id, task})) continue;
         const Outcome outcome = place_task(search, task);
-        if (outcome == Outcome::job_must_wait) return;
+        if (outcome == Outcome::job_waits) return;
         if (outcome == Outcome::started && extent == Extent::first) return;
     }
 }
@@ -32,7 +33,7 @@
 TaskPlacement::Outcome TaskPlacement::place_task(JobSearch& search, std::uint32_t task) {
     const JobEntry& entry = search.entry;
     auto& reservations = trial_.result().reservations;
-    // Its own reservation is free capacity for it.
+    // The task may use the capacity that is reserved for it.
     const auto reservation = reservations.find({entry.job.id, task});
     const bool reserved = reservation != reservations.end();
     std::optional<std::size_t> machine;
@@ -43,21 +44,22 @@
     if (!machine) machine = next_candidate(search, task);
     if (!machine && reserved) {
         trial_.reserve(reservation->second);
-        return Outcome::waits;
+        return Outcome::task_waits;
     }
     if (!machine) {
-        // The job's other tasks have the same shape.
-        return preemption_.preempt(entry, search.zones, task) ? Outcome::waits : Outcome::job_must_wait;
+        // All tasks of the job have the same shape, so none of them fits either.
+        return preemption_.preempt(entry, search.zones, task) ? Outcome::task_waits : Outcome::job_waits;
     }
     if (!reserved && search.extent != Extent::first &&
-        !ranking_.leaves_quota_reservations(entry.job, *machine))
-        return Outcome::job_must_wait;
+        !ranking_.respects_quota_reservations(entry.job, *machine))
+        return Outcome::job_waits;
     if (reserved) {
         reservations.erase(reservation);
-    } else if (image_comes_too_late(search, *machine) &&
+    } else if (image_fetch_exceeds_max_wait(search, *machine) &&
                preemption_.preempt(entry, search.zones, task, true)) {
-        // The objective allows no longer wait: a place where the image is cached is worth preempting a task.
-        return Outcome::waits;
+        // The image fetch takes longer than the objective allows: preempting a task on a machine that has the
+        // image is worth its cost.
+        return Outcome::task_waits;
     }
     start(search, task, *machine);
     return Outcome::started;
@@ -71,7 +73,7 @@
 
 std::optional<std::size_t> TaskPlacement::reserved_machine(const JobSearch& search, std::uint32_t task,
                                                            const Reservation& reservation) const {
-    const auto machine = trial_.capacity().at(reservation.machine);
+    const auto machine = trial_.capacity().position_of(reservation.machine);
     if (machine == FreeCapacity::npos || !trial_.capacity().machines()[machine].usable) return std::nullopt;
     if (!fits(search, machine) || trial_.listed_on(machine, search.entry, task)) return std::nullopt;
     return machine;
@@ -87,10 +89,10 @@
     return std::nullopt;
 }
 
-bool TaskPlacement::image_comes_too_late(const JobSearch& search, std::size_t machine) const {
-    if (!search.longest_wait_s) return false;
+bool TaskPlacement::image_fetch_exceeds_max_wait(const JobSearch& search, std::size_t machine) const {
+    if (!search.max_wait_s) return false;
     const MachineCapacity& candidate = trial_.capacity().machines()[machine];
-    return search_.image_fetch_s(search.entry.job, candidate) > *search.longest_wait_s;
+    return search_.image_fetch_s(search.entry.job, candidate) > *search.max_wait_s;
 }
 
 void TaskPlacement::start(JobSearch& search, std::uint32_t task, std::size_t machine) {
--- a/src/core/task_placement.hpp
+++ b/src/core/task_placement.hpp
@@ -1,4 +1,5 @@
-/// Places tasks of arrays and services one by one: each starts where it fits, preempts, or waits.
+/// Places the tasks of arrays and services one by one: each task starts on a machine with free capacity,
+/// preempts other tasks, or waits.
 #pragma once
 
 #include <optional>
@@ -19,21 +20,22 @@
                   Preemption& preemption)
         : trial_(trial), search_(search), ranking_(ranking), preemption_(preemption) {}
 
-    /// Starts as many tasks as the pass and the team's limit allow.
+    /// Starts as many tasks of the job as the pass and the team's limit allow.
     void place_all(const JobEntry& entry) { place(entry, Extent::all); }
-    /// Starts the first task of an overdue job, whatever is reserved for the quotas of others.
+    /// Starts the first task of an overdue job, even on capacity that is reserved for other teams' quotas.
     void place_first(const JobEntry& entry) { place(entry, Extent::first); }
 
   private:
     enum class Extent : std::uint8_t { all, first };
-    enum class Outcome : std::uint8_t { started, waits, job_must_wait };
+    enum class Outcome : std::uint8_t { started, task_waits, job_waits };
     struct JobSearch {
         const JobEntry& entry;
         Extent extent;
         ZoneUse& zones;
-        std::optional<double> longest_wait_s;  // what the class's objective allows
+        std::optional<double> max_wait_s;  // longest wait that the objective of the job's class allows
         std::vector<CandidateScore> candidates;
-        std::size_t next = 0;  // all before it are full, or in a zone that the job may not use any more
+        // All candidates before it are full or in a zone that the job may no longer use.
+        std::size_t next = 0;
     };
 
     void place(const JobEntry& entry, Extent extent);
@@ -42,16 +44,16 @@
     std::optional<std::size_t> reserved_machine(const JobSearch& search, std::uint32_t task,
                                                 const Reservation& reservation) const;
     std::optional<std::size_t> next_candidate(JobSearch& search, std::uint32_t task) const;
-    bool image_comes_too_late(const JobSearch& search, std::size_t machine) const;
+    bool image_fetch_exceeds_max_wait(const JobSearch& search, std::size_t machine) const;
     void start(JobSearch& search, std::uint32_t task, std::size_t machine);
-    std::optional<double> longest_wait_s(const Job& job) const;
-    ZoneUse& zones_of(const JobEntry& entry);
+    std::optional<double> max_wait_s(const Job& job) const;
+    ZoneUse& zone_use_of(const JobEntry& entry);
 
     PlacementTrial& trial_;
     CandidateSearch& search_;
     FairShareRanking& ranking_;
     Preemption& preemption_;
-    // Kept for the whole pass: a job that had to begin is tried twice.
+    // Kept for the whole pass, since an overdue job is placed twice.
     std::unordered_map<const JobEntry*, ZoneUse> zones_;
 };
 
