--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -39,9 +39,9 @@
     }
 
   private:
-    // Starts one task of each overdue job before the queue is placed, the job with the longest wait first.
-    // Capacity that is missing is reserved for the job, so that neither smaller nor more urgent jobs take
-    // what is freed.
+    // Starts the first task, or the whole gang, of each overdue job before the queue is placed, the job with
+    // the longest wait first. Missing capacity is reserved for the job, so that neither smaller nor more
+    // urgent jobs take capacity that becomes free.
     void start_overdue_jobs(const std::vector<const JobEntry*>& overdue) {
         for (const JobEntry* entry : overdue) {
             if (trial_.full()) break;
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -74,7 +74,7 @@
 
 Preemption::VictimCost Preemption::victim_cost(const JobEntry& entry, TaskState state) const {
     // The only running task of a job that was overdue is stopped last: without it the job would be overdue
-    // again. On a full fleet this repeated for minutes.
+    // again. When all machines are full, that can repeat for minutes.
     const bool started_overdue =
         entry.open == 1 && unfinished_when_overdue(entry, trial_.input().wall_clock_now);
     const int priority =
--- a/src/core/queue_order.cpp
+++ b/src/core/queue_order.cpp
@@ -18,8 +18,8 @@
 }
 
 // Seconds from acceptance by which the job must be done to meet this objective. A wait objective ends with
-// the start, so the estimated run time is added; without it such jobs looked late too early and machines were
-// scaled out for them.
+// the start, so the estimated run time is added: otherwise such jobs would look late too early, and machines
+// would be scaled out for them.
 double seconds_to_completion(const Job& job, const Objective& objective) {
     return objective.kind == "wait" ? objective.within_s + job.estimate_s : objective.within_s;
 }
--- a/src/core/scale_out_planner.cpp
+++ b/src/core/scale_out_planner.cpp
@@ -63,7 +63,7 @@
         for (const JobEntry* entry : queue) {
             if (entry->job.kind != JobKind::array) place_all(*entry);
         }
-        // Arrays share capacity over time: they get as much as starts their queue within the wanted time.
+        // Arrays share capacity over time: they get as much as starts their queue within the target time.
         // Capacity that running array tasks free within that time is available to the queue too.
         free_shares_of_running_tasks();
         first_with_capacity_.clear();  // capacity has been added, so earlier machines may have some again
@@ -212,7 +212,7 @@
         return std::min(1.0, run_s / std::max(slack_s * settings_.slack_share, settings_.least_queue_s));
     }
 
-    // Adds to the free capacity the fraction of the wanted time that remains for the queue after running
+    // Adds to the free capacity the fraction of the target time that remains for the queue after running
     // array tasks end.
     void free_shares_of_running_tasks() {
         std::unordered_map<const JobEntry*, double> freed_shares;
@@ -231,8 +231,8 @@
     }
 
     void place_array(const JobEntry& entry) {
-        // A task that runs longer than the wanted time needs its own slot at once; short tasks share slots
-        // one after the other.
+        // A task that runs longer than the target time needs its own slot at once; short tasks use a slot one
+        // after the other.
         const double share = slot_share(entry.job, std::max(task_seconds(entry.job), kMinTaskSeconds));
         ZoneUse zones = ZoneUse::of(entry, capacity_);
         if (!has_suitable_machine(entry.job)) {
