--- a/src/core/cluster_view.cpp
+++ b/src/core/cluster_view.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Machine ids of the cloud are rarely shorter; an estimate for an empty view.
-constexpr std::size_t kUsualNameLength = 10;
+// Lower bound of the estimated machine id length, for a view without machines.
+constexpr std::size_t kTypicalMachineIdLength = 10;
 
 bool is_newer(const WorkerHeartbeat& heartbeat, const WorkerHeartbeat& known) {
     return std::pair{heartbeat.incarnation, heartbeat.heartbeat_sequence} >
            std::pair{known.incarnation, known.heartbeat_sequence};
 }
 
-// The same attempts in the same order, whatever their states.
+// Returns true if both list the same attempts in the same order. Ignores the states of the attempts.
 bool lists_same_attempts(const WorkerHeartbeat& left, const WorkerHeartbeat& right) {
     return std::equal(left.tasks.begin(), left.tasks.end(), right.tasks.begin(), right.tasks.end(),
                       [](const TaskStatus& one, const TaskStatus& other) {
@@ -34,7 +34,7 @@
 std::vector<std::uint32_t> index_of(const std::vector<TaskStatus>& tasks) {
     std::vector<std::uint32_t> index(tasks.size());
     std::iota(index.begin(), index.end(), 0U);
-    // An exited attempt may be listed beside a newer one of the same task: the newest counts.
+    // An exited attempt may be listed together with a newer one of the same task, so the newest comes first.
     std::sort(index.begin(), index.end(), [&](std::uint32_t left_position, std::uint32_t right_position) {
         const TaskStatus& left = tasks[left_position];
         const TaskStatus& right = tasks[right_position];
@@ -58,7 +58,7 @@
 
 bool ClusterView::apply(WorkerHeartbeat heartbeat, Micros monotonic_now, Micros answered_at, bool answer,
                         Micros stale_heartbeat_threshold) {
-    // A late heartbeat must not bring back a machine that the cloud has confirmed as gone.
+    // A late heartbeat must not restore a machine whose release the cloud has confirmed.
     if (released_.contains(heartbeat.machine)) return false;
     const auto [known, is_new] = machines_.try_emplace(heartbeat.machine);
     MachineView& machine = known->second;
@@ -67,14 +67,16 @@
         machine.confirmed = true;
     } else if (!is_new && (monotonic_now - machine.last_heartbeat_at > stale_heartbeat_threshold ||
                            machine.last_heartbeat.incarnation != heartbeat.incarnation)) {
-        // A lease that expired while heartbeats came in: perhaps no answer reaches the machine.
+        // After a gap the heartbeat may be a late duplicate. A new incarnation means that the lease expired:
+        // if it expired while heartbeats arrived, answers may not reach the machine.
         machine.confirmed = false;
     }
     machine.last_heartbeat_at = monotonic_now;
     machine.last_answered_at = std::max(machine.last_answered_at, answered_at);
     machine.notice_until.reset();
     if (heartbeat.notice_s) machine.notice_until = monotonic_now + from_seconds(*heartbeat.notice_s);
-    // A worker whose lease expired keeps its images: the machine did not restart.
+    // A new incarnation does not reset `images`: a worker whose lease expired keeps them, since its machine
+    // did not restart.
     const bool same_attempts = lists_same_attempts(heartbeat, machine.last_heartbeat);
     const bool same_content = has_same_content(heartbeat, machine.last_heartbeat);
     machine.last_heartbeat = std::move(heartbeat);
@@ -90,7 +92,8 @@
     if (known == machines_.end()) return false;
     MachineView& view = known->second;
     WorkerHeartbeat& heartbeat = view.last_heartbeat;
-    // The sender's tasks are those known here only in the same incarnation, and once their last change is.
+    // The tasks known here are the sender's only in the same incarnation and if its last change is known
+    // here.
     if (heartbeat.incarnation != incarnation || heartbeat.heartbeat_sequence < content_sequence) return false;
     if (heartbeat.heartbeat_sequence >= heartbeat_sequence) return false;
     heartbeat.heartbeat_sequence = heartbeat_sequence;
@@ -139,9 +142,9 @@
 }
 
 std::size_t ClusterView::longest_name() const {
-    std::size_t longest = kUsualNameLength;
-    for (const auto& [id, view] : machines_) longest = std::max(longest, id.size());
-    return longest;
+    std::size_t max_length = kTypicalMachineIdLength;
+    for (const auto& [id, view] : machines_) longest = std::max(max_length, id.size());
+    return max_length;
 }
 
 AttemptView view_attempt(const ClusterView& view, const std::string& job, std::uint32_t task,
--- a/src/core/cluster_view.hpp
+++ b/src/core/cluster_view.hpp
@@ -1,5 +1,5 @@
-/// The cluster view: the fleet as this controller sees it, from heartbeats and from what other controllers
-/// pass on. It may be out of date; nothing that must hold relies on it alone.
+/// The cluster view: the fleet as seen by this controller, from heartbeats and from messages of other
+/// controllers. It may be out of date, so no safety property relies on it alone.
 #pragma once
 
 #include <cstdint>
@@ -15,68 +15,74 @@
 
 namespace hatchwind::core {
 
-/// One machine that has sent a heartbeat and is not known to be gone.
+/// A machine that has sent a heartbeat and is not known to be released.
 struct MachineView {
     WorkerHeartbeat last_heartbeat;
-    /// Wall clock: the newest heartbeat or command that was answered, by any controller.
+    /// Wall clock: when any controller last answered a heartbeat of the machine or had a command answered by
+    /// it.
     Micros last_answered_at{};
-    Micros last_heartbeat_at{};  ///< monotonic clock: when the newest heartbeat came in
-    /// Sequence of the newest heartbeat that changed its incarnation, its tasks or its notice.
+    Micros last_heartbeat_at{};  ///< monotonic clock: when the newest heartbeat arrived
+    /// Sequence number of the newest heartbeat that changed the incarnation, the tasks or the spot notice.
     std::uint64_t content_sequence = 0;
-    /// A heartbeat may be a late copy from a machine that is long gone, and a controller that has just
-    /// started cannot tell. A machine takes tasks only after it has answered a request; see
-    /// ClusterView::confirm().
+    /// True if the machine has answered a request; only then does it get tasks. A heartbeat alone may be a
+    /// late duplicate from a machine that no longer exists, which a restarted controller cannot recognize.
+    /// See ClusterView::confirm().
     bool confirmed = false;
-    std::optional<Micros> notice_until;  ///< monotonic clock: when the cloud takes the machine away
-    /// An image in the machine's cache.
+    std::optional<Micros> notice_until;  ///< monotonic clock: when the cloud reclaims the machine
+    /// An image in the machine's image cache.
     struct Image {
         double gb = 0;
         Micros used{};  ///< monotonic clock: last use
     };
     std::map<std::string, Image> images;  ///< by name
-    /// Positions in last_heartbeat.tasks, by task number, then job, the newest attempt first.
+    /// Positions in last_heartbeat.tasks, sorted by task number, then job, then descending attempt number.
     std::vector<std::uint32_t> index;
 
-    /// The newest attempt of the task that the worker lists; null when it lists none.
+    /// Returns the newest attempt of the task that the worker lists, or null if it lists none.
     const TaskStatus* task(const std::string& job, std::uint32_t number) const;
 };
 
-/// Written by WorkerStatus alone. A machine is in it from its first heartbeat on, until the cloud has
-/// confirmed that it is gone.
+/// Contains each machine from its first heartbeat until the cloud has confirmed its release. Only
+/// WorkerStatus modifies it.
 class ClusterView {
   public:
-    /// True when the heartbeat is news: newer (incarnation, heartbeat sequence) than the known one. Anything
-    /// else is a late copy or a repeat, and changes nothing at all. `answer`: it came as the answer to a
-    /// request, so it is no late copy. `stale_heartbeat_threshold`: a first heartbeat, one of a new
-    /// incarnation, or one after that much silence proves nothing by itself: the machine has to answer before
-    /// it is used. `answered_at`: as MachineView::last_answered_at.
+    /// Applies a heartbeat. Returns false, without any change, if its (incarnation, heartbeat sequence) is
+    /// not newer than the known one: then it is a late duplicate. Also returns false for a released machine.
+    /// `answer`: the heartbeat is the response to a request, so it cannot be a late duplicate.
+    /// `stale_heartbeat_threshold`: a first heartbeat, one of a new incarnation, or one that arrives after a
+    /// longer gap does not confirm the machine, which then has to answer a request before it gets tasks.
+    /// `answered_at`: see MachineView::last_answered_at.
     bool apply(WorkerHeartbeat heartbeat, Micros monotonic_now, Micros answered_at, bool answer = false,
                Micros stale_heartbeat_threshold = Micros::max());
-    /// A controller had an answer from the machine at that time of the wall clock.
+    /// Records that a controller received an answer from the machine. `answered_at`: wall clock.
     void record_answer(const std::string& machine, Micros answered_at);
-    /// The machine has used the image. Keeps the most recently used ones up to `cache_gb`, as its cache does.
+    /// Records that the machine used an image. Keeps the most recently used images up to `cache_gb`, like the
+    /// machine's own cache.
     void record_image(const std::string& machine, const std::string& image, double gb, double cache_gb,
                       Micros monotonic_now);
-    /// The cloud has confirmed that the machine is gone, for good.
+    /// Removes a machine permanently, after the cloud has confirmed its release.
     void release(const std::string& machine, Micros monotonic_now);
-    /// Machines that are gone for good, as far as they are still remembered.
+    /// Released machines, within the limits of ReleasedMachines.
     const ReleasedMachines& released_machines() const { return released_; }
-    /// The cloud has confirmed that the machine is gone.
+    /// Returns true if the cloud has confirmed the release of the machine.
     bool released(const std::string& machine) const { return released_.contains(machine); }
-    /// A heartbeat without changes of its tasks, passed on by another controller. False when this one has not
-    /// seen the tasks that it refers to: then it must wait for a full heartbeat.
+    /// Applies a heartbeat without task changes that another controller forwarded. Returns false if it is not
+    /// newer than the known heartbeat, or if this controller does not know the tasks it refers to: then only
+    /// a full heartbeat can update the machine.
     bool apply_keep_alive(const std::string& machine, std::uint64_t incarnation,
                           std::uint64_t heartbeat_sequence, std::uint64_t fencing_token,
                           std::uint64_t content_sequence, Micros monotonic_now, Micros answered_at);
-    /// The machine has answered this controller, or another one that says so.
+    /// Marks the machine as confirmed: it has answered this controller or, as reported by a peer, another
+    /// one.
     void confirm(const std::string& machine);
-    /// By machine id.
+    /// Machines by id.
     const std::map<std::string, MachineView>& machines() const { return machines_; }
-    /// Null when the machine is not known.
+    /// Returns null if the machine is not known.
     const MachineView* find(const std::string& machine) const;
-    /// Length of the longest machine id in bytes, for bounds on the size of records that contain ids.
+    /// Returns the length of the longest machine id in bytes, for bounds on the size of records that contain
+    /// ids.
     std::size_t longest_name() const;
-    /// Unlike a release: the machine comes back with its next heartbeat.
+    /// Removes a machine. Unlike after release(), its next heartbeat adds it again.
     void forget(const std::string& machine) { machines_.erase(machine); }
 
   private:
@@ -84,26 +90,26 @@
     ReleasedMachines released_;
 };
 
-/// What the cluster view tells of an attempt that the store records.
+/// Status of a recorded attempt according to the cluster view.
 enum class AttemptStatus : std::uint8_t {
-    unlisted,  ///< the worker's newest heartbeat lacks it: its start may still be on the way
-    live,
-    exited,
-    gone,    ///< a later incarnation, or the machine was released: it can never run again
-    silent,  ///< nothing newer is known
+    unlisted,  ///< not in the worker's newest heartbeat: its start command may still be in flight
+    live,      ///< listed by the worker and not exited
+    exited,    ///< listed by the worker as exited
+    gone,      ///< the worker has a later incarnation or its machine was released: it can never run again
+    silent,    ///< the machine is unknown, or no heartbeat of the attempt's incarnation has arrived
 };
 
-/// What is known of an attempt. State and cause are meaningful for `live` and `exited` only.
+/// Status of an attempt. `state` and `cause` are meaningful only for `live` and `exited`.
 struct AttemptView {
     AttemptStatus status = AttemptStatus::silent;
     TaskState state = TaskState::fetching;
     ExitCause cause = ExitCause::none;
 };
 
-/// What is known of a recorded attempt.
+/// Returns the status of a recorded attempt.
 AttemptView view_attempt(const ClusterView& view, const std::string& job, std::uint32_t task,
                          const Attempt& attempt);
-/// The same for an attempt on a machine that is in the cluster view, without a search for it.
+/// Returns the status of an attempt on the given machine, without a lookup of the machine.
 AttemptView view_attempt(const MachineView& machine, const std::string& job, std::uint32_t task,
                          std::uint64_t number, std::uint64_t incarnation);
 
--- a/src/core/dependency_graph.cpp
+++ b/src/core/dependency_graph.cpp
@@ -11,9 +11,9 @@
 struct WaitingJob {
     const Job* job = nullptr;
     bool cancelled = false;
-    std::size_t open_dependencies = 0;        // that are not known to be done
-    std::vector<std::size_t> dependents{};    // waiting jobs
-    std::vector<std::string_view> unknown{};  // dependencies of which nothing is known
+    std::size_t open_dependencies = 0;        // dependencies not known to be done
+    std::vector<std::size_t> dependents{};    // positions of the waiting jobs that depend on this one
+    std::vector<std::string_view> unknown{};  // dependencies whose terminal state is unknown
 };
 
 class DependencyPass {
@@ -27,7 +27,7 @@
     }
 
     DependencyPlan run(const std::function<bool(const Job&)>& selected) {
-        for (std::size_t i = 0; i < jobs_.size(); ++i) visit_dependencies(i);
+        for (std::size_t position = 0; position < jobs_.size(); ++position) visit_dependencies(position);
         propagate_cancellations();
         DependencyPlan plan;
         std::unordered_set<std::string_view> unknown;
@@ -98,7 +98,7 @@
     const TerminalStateLookup& lookup_;
     std::vector<WaitingJob> jobs_;
     std::unordered_map<std::string_view, std::size_t> index_;
-    std::vector<std::size_t> cancelled_;  // whose dependents are to be marked
+    std::vector<std::size_t> cancelled_;  // positions whose dependents are not marked as cancelled yet
 };
 
 }  // namespace
@@ -111,8 +111,8 @@
 
 Ancestry look_back(const JobTable& job_table, const std::vector<std::string>& jobs,
                    const TerminalStateLookup& lookup) {
-    Ancestry ancestry;
-    std::unordered_set<std::string_view> seen(jobs.begin(), jobs.end());
+    Ancestry status;
+    std::unordered_set<std::string_view> visited(jobs.begin(), jobs.end());
     std::vector<const std::string*> to_visit;
     to_visit.reserve(jobs.size());
     for (const auto& job : jobs) to_visit.push_back(&job);
@@ -121,24 +121,24 @@
         to_visit.pop_back();
         if (const JobEntry* entry = job_table.find(id)) {
             if (entry->job.cancelled) {
-                ancestry.cancelled = true;
-                return ancestry;
+                status.cancelled = true;
+                return status;
             }
             if (!entry->job.waiting()) continue;
-            if (!entry->job.dependencies_known()) ancestry.complete = false;
+            if (!entry->job.dependencies_known()) status.complete = false;
             for (const auto& dependency : entry->job.dependencies) {
-                if (seen.insert(dependency).second) to_visit.push_back(&dependency);
+                if (visited.insert(dependency).second) to_visit.push_back(&dependency);
             }
             continue;
         }
         const auto terminal_state = lookup(id);
         if (terminal_state == TerminalState::cancelled) {
-            ancestry.cancelled = true;
-            return ancestry;
+            status.cancelled = true;
+            return status;
         }
-        if (!terminal_state) ancestry.unknown_terminal_states.push_back(id);
+        if (!terminal_state) status.unknown_terminal_states.push_back(id);
     }
-    return ancestry;
+    return status;
 }
 
 }  // namespace hatchwind::core
--- a/src/core/dependency_graph.hpp
+++ b/src/core/dependency_graph.hpp
@@ -1,6 +1,6 @@
-/// The DAG of waiting jobs: which of them can be released, and which have to be cancelled because a
-/// dependency is cancelled. Pure; time and memory are linear in the number of dependencies, and nothing is
-/// recursive, so chains and fans may be of any length.
+/// The dependency graph (DAG) of waiting jobs: which of them can be released, and which have to be cancelled
+/// because a dependency was cancelled. The functions have no side effects. Time and memory are linear in the
+/// number of dependencies, and there is no recursion, so the graph may be arbitrarily deep and wide.
 #pragma once
 
 #include <functional>
@@ -12,32 +12,36 @@
 
 namespace hatchwind::core {
 
-/// How a job ended for good.
+/// Final outcome of a job.
 enum class TerminalState : std::uint8_t { done, cancelled };
-/// The terminal state of a job that is not in the job table; nothing when it is not known here. That a job is
-/// missing from the job table never means that it is done.
+/// Returns the terminal state of a job that is not in the job table, or nothing if it is unknown. A job that
+/// is missing from the job table is not necessarily done.
 using TerminalStateLookup = std::function<std::optional<TerminalState>(const std::string& job)>;
 
-/// What to do about waiting jobs, by id.
+/// Actions for waiting jobs, as lists of job ids.
 struct DependencyPlan {
-    std::vector<std::string> release;  ///< all their dependencies are done
-    std::vector<std::string> cancel;   ///< cancelled, or dependent on a cancelled job, directly or not
-    std::vector<std::string> unknown_terminal_states;  ///< of jobs that decide about others; without repeats
+    std::vector<std::string> release;  ///< jobs whose dependencies are all done
+    /// Jobs that are cancelled or depend on a cancelled job, directly or transitively.
+    std::vector<std::string> cancel;
+    /// Dependencies whose terminal state is needed but unknown, without duplicates.
+    std::vector<std::string> unknown_terminal_states;
 };
 
-/// What to do about the waiting jobs that `selected` accepts. `lookup` is asked for jobs that are not in the
-/// table.
+/// Returns the actions for the waiting jobs that `selected` accepts. `lookup` is called for dependencies that
+/// are not in the job table.
 DependencyPlan plan_dependencies(const JobTable& job_table, const TerminalStateLookup& lookup,
                                  const std::function<bool(const Job&)>& selected);
 
-/// What some jobs and their ancestors, their direct and indirect dependencies, say about a job that depends
-/// on them all.
+/// Combined status of a set of jobs and their direct and transitive dependencies.
 struct Ancestry {
-    bool cancelled = false;  ///< one of them is: so is the job, whatever else is not known
-    bool complete = true;    ///< false: the dependencies of one of them are not known here
-    std::vector<std::string> unknown_terminal_states;  ///< without repeats
+    bool cancelled =
+        false;  ///< at least one of these jobs is cancelled; the other fields may then be incomplete
+    bool complete = true;  ///< false: the dependencies of at least one waiting job are unknown
+    /// Ended jobs whose terminal state is unknown, without duplicates.
+    std::vector<std::string> unknown_terminal_states;
 };
-/// Visits `jobs` and all their ancestors.
+/// Returns the combined status of `jobs` and all their direct and transitive dependencies. Stops at the first
+/// cancelled job.
 Ancestry look_back(const JobTable& job_table, const std::vector<std::string>& jobs,
                    const TerminalStateLookup& lookup);
 
--- a/src/core/epoch.cpp
+++ b/src/core/epoch.cpp
@@ -20,34 +20,34 @@
     ShardOwners run(const ShardOwners& previous) {
         keep_previous_owners(previous);
         assign_rest();
-        raise_lightest();
+        fill_underloaded_members();
         return std::move(owners_);
     }
 
   private:
-    using Load = std::map<std::string, std::size_t>;  // member -> teams
+    using Load = std::map<std::string, std::size_t>;  // member -> number of teams
 
     void keep_previous_owners(const ShardOwners& previous) {
-        const std::size_t most = (teams_.size() + member_count_ - 1) / member_count_;
+        const std::size_t max_teams = (teams_.size() + member_count_ - 1) / member_count_;
         for (const auto& team : teams_) {
             const auto owner = previous.find(team.name);
             if (owner == previous.end()) continue;
             const auto member = load_.find(owner->second);
-            if (member == load_.end() || member->second >= most) continue;
+            if (member == load_.end() || member->second >= max_teams) continue;
             assign(team.name, member);
         }
     }
 
     void assign_rest() {
         for (const auto& team : teams_) {
-            if (!owners_.contains(team.name)) assign(team.name, lightest());
+            if (!owners_.contains(team.name)) assign(team.name, least_loaded());
         }
     }
 
-    // A member that came back without any team takes over teams of those that have the most.
-    void raise_lightest() {
-        const std::size_t least = teams_.size() / member_count_;
-        while (lightest()->second < least) move_one_team(heaviest(), lightest());
+    // A member that rejoins without teams takes over teams from the members that have the most.
+    void fill_underloaded_members() {
+        const std::size_t min_teams = teams_.size() / member_count_;
+        while (least_loaded()->second < min_teams) move_one_team(most_loaded(), least_loaded());
     }
 
     void assign(const std::string& team, Load::iterator member) {
@@ -63,15 +63,15 @@
         ++to->second;
     }
 
-    // The leader has work of its own, so it comes last among equals.
-    Load::iterator lightest() {
+    // Among members with equal load the leader comes last, because it has additional work.
+    Load::iterator least_loaded() {
         return std::min_element(load_.begin(), load_.end(), [&](const auto& left, const auto& right) {
             return std::tuple{left.second, left.first == leader_, left.first} <
                    std::tuple{right.second, right.first == leader_, right.first};
         });
     }
 
-    Load::iterator heaviest() {
+    Load::iterator most_loaded() {
         return std::max_element(load_.begin(), load_.end(), [](const auto& left, const auto& right) {
             return left.second < right.second;
         });
@@ -100,7 +100,8 @@
     return {label, record == input.member_records.end() ? 0 : record->second.mod_revision};
 }
 
-// The conditions under which all members that are gone may be removed; nothing while one of them may not be.
+// Returns the conditions under which all members that are not alive may be removed, or nothing if one of them
+// may not be removed yet.
 std::optional<std::vector<MemberCondition>> removal_conditions(const EpochInput& input) {
     std::vector<MemberCondition> conditions;
     for (const auto& member : input.current.members) {
@@ -112,7 +113,7 @@
     return conditions;
 }
 
-// All live members when none of them is healthy.
+// Returns the labels of the healthy live members, or of all live members if none is healthy.
 std::vector<std::string> healthy_members(const EpochInput& input) {
     std::vector<std::string> healthy;
     std::vector<std::string> all;
@@ -123,7 +124,7 @@
     return healthy.empty() ? all : healthy;
 }
 
-bool says_the_same(const Epoch& current, const Epoch& next) {
+bool has_same_assignment(const Epoch& current, const Epoch& next) {
     return current.number != 0 && next.members == current.members &&
            next.shard_owners == current.shard_owners && next.leader == current.leader;
 }
@@ -155,17 +156,17 @@
 
     const std::vector<std::string> healthy = healthy_members(input);
     const bool self_healthy = std::find(healthy.begin(), healthy.end(), input.self.label) != healthy.end();
-    // A leader that cannot do its part hands over.
+    // An unhealthy leader hands over to a healthy member.
     next.leader = self_healthy ? input.self.label : healthy.front();
     next.shard_owners = assign_shards(input.teams, healthy, next.leader, input.current.shard_owners);
-    if (says_the_same(input.current, next)) return std::nullopt;
+    if (has_same_assignment(input.current, next)) return std::nullopt;
     return EpochPlan{std::move(next), std::move(*conditions)};
 }
 
 Micros LeadershipLease::safe_end(Micros start, Micros time_to_live) {
-    // Clocks drift apart by up to 0.05%: this is 0.2%.
+    // 0.2%, which is above the clock drift of up to 0.05%.
     constexpr int kDriftDivisor = 500;
-    // Timers fire late.
+    // Allowance for timers that fire late.
     constexpr Micros kTimerMargin{50'000};
     return start + time_to_live - time_to_live / kDriftDivisor - kTimerMargin;
 }
@@ -180,8 +181,8 @@
     if (!alive(monotonic_now)) return;
     Micros& vote_end = extension_votes_[voter];
     vote_end = std::max(vote_end, safe_end(requested_at, time_to_live));
-    // A full set of votes becomes part of the lease, so that the next set goes on from there.
-    if (const auto full_vote = end_of_full_vote()) until_ = std::max(until_, *full_vote);
+    // A complete set of votes extends the lease itself, so that the next set of votes extends it further.
+    if (const auto unanimous_end = end_of_unanimous_vote()) until_ = std::max(until_, *unanimous_end);
 }
 
 void LeadershipLease::lost() {
@@ -189,7 +190,7 @@
     extension_votes_.clear();
 }
 
-std::optional<Micros> LeadershipLease::end_of_full_vote() const {
+std::optional<Micros> LeadershipLease::end_of_unanimous_vote() const {
     if (others_.empty()) return std::nullopt;
     Micros end = Micros::max();
     for (const auto& other : others_) {
--- a/src/core/epoch.hpp
+++ b/src/core/epoch.hpp
@@ -1,5 +1,6 @@
-/// Epochs and leadership leases: who leads, which controller schedules which shard, and until when a
-/// controller may act. Pure decisions; `cluster/membership` reads the store, writes epochs and counts votes.
+/// Epochs and leadership leases: which controller is the leader, which controller schedules which shard, and
+/// until when a controller may act. Pure functions and state without input or output; `cluster/membership`
+/// reads the store, writes epochs and collects votes.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +17,27 @@
 
 namespace hatchwind::core {
 
-/// One run of a controller's process: its label and the store lease that this run holds. A controller that
-/// restarts is another member under the same label.
+/// One run of a controller process, identified by the controller's label and the store lease of this run. A
+/// restarted controller is a different member with the same label.
 struct Member {
     std::string label;
     std::uint64_t store_lease = 0;
     friend bool operator==(const Member&, const Member&) = default;
 };
 
-/// The record of the current epoch, as the store has it.
+/// The epoch record in the store.
 struct Epoch {
-    std::uint64_t number = 0;  ///< also the fencing token of commands; 0: none was ever written
+    std::uint64_t number = 0;  ///< also the fencing token of commands; 0: no epoch was written yet
     std::string leader;        ///< label
     std::vector<Member> members;
     std::map<std::string, std::string> shard_owners;  ///< team -> label
-    /// Wall clock: when the last epoch that removed a member was written. No run of a controller that is not
-    /// a member now can have answered a worker after it.
+    /// Wall clock: when the last epoch that removed a member was written. A controller run that is not a
+    /// member of this epoch cannot have answered a worker after this time.
     Micros removed_at{};
     Revision mod_revision = 0;
-    std::string unknown_fields;  ///< of the record, as Job::unknown_fields
+    std::string unknown_fields;  ///< see Job::unknown_fields
 
-    /// Null when no member has that label.
+    /// Returns the member with the given label, or null.
     const Member* member(const std::string& label) const {
         for (const auto& candidate : members) {
             if (candidate.label == label) return &candidate;
@@ -46,86 +47,95 @@
 };
 
 /// @name Capabilities
-/// What a version of the program understands, as bits. A controller tells them in its key and in heartbeats,
-/// so that nothing is stored that another controller would misread.
+/// Features that a version of the program supports, as bits. A controller announces them in its member key
+/// and in heartbeats to its peers, so that nothing is stored that another controller would misinterpret.
 /// @{
+/// Supports jobs that wait for their dependencies, see kWaitingTeam.
 constexpr std::uint64_t kKnowsWaitingJobs = 1;
-/// Takes its part of the store's writes by core/fair_share.hpp; earlier versions in proportion to demand.
+/// Divides the store's write rate among controllers by core/fair_share.hpp. Earlier versions divide it in
+/// proportion to demand.
 constexpr std::uint64_t kSharesWritesFairly = 2;
-/// Understands wire::StartHoldRequest.
+/// Supports wire::StartHoldRequest.
 constexpr std::uint64_t kHoldsStarts = 4;
 constexpr std::uint64_t kCapabilities = kKnowsWaitingJobs | kSharesWritesFairly | kHoldsStarts;
 /// @}
 
-/// The key of a live controller, as the store has it. It is bound to the store lease and goes with it.
+/// The member key of a live controller in the store. It is attached to the store lease, so the store deletes
+/// it when the lease expires.
 struct MemberRecord {
     std::uint64_t store_lease = 0;
     Revision mod_revision = 0;
     std::uint64_t capabilities = 0;
 };
 
-/// What plan_epoch decides by.
+/// Input of plan_epoch().
 struct EpochInput {
     Epoch current;
     std::map<std::string, MemberRecord> member_records;  ///< by label
     Member self;
     std::vector<Team> teams;
-    std::set<std::string> unhealthy;  ///< labels of live controllers that say they cannot do their part
-    std::set<std::string> protected_members;  ///< labels for which this one's extension votes still count
-    /// This run may be bound by extension votes that an earlier one gave.
+    std::set<std::string> unhealthy;  ///< labels of live controllers that report themselves unhealthy
+    /// Labels for which extension votes of this controller are still in force.
+    std::set<std::string> protected_members;
+    /// True if extension votes by an earlier run of this controller may still be in force.
     bool bound_by_earlier_votes = false;
     Micros wall_clock_now{};
 };
 
-/// A member's key must still have this mod revision; 0: it must not exist.
+/// Condition of an epoch write: the member key of `label` has this mod revision; 0: the key does not exist.
 struct MemberCondition {
     std::string label;
     Revision mod_revision = 0;
     friend bool operator==(const MemberCondition&, const MemberCondition&) = default;
 };
 
-/// An epoch to write by compare-and-swap: on the mod revision in `next` and on all member conditions.
+/// An epoch to be written by compare-and-swap, conditional on the mod revision in `next` and all member
+/// conditions.
 struct EpochPlan {
     Epoch next;
     std::vector<MemberCondition> member_conditions;
 };
 
-/// The epoch that this controller should write now, if any. Only the leader writes while it lives; when it is
-/// gone, any live controller may, and the first commit wins. No member is removed while an extension vote
-/// that this controller gave may still protect it.
+/// Returns the epoch that this controller should write now, or nothing. Only the leader writes epochs while
+/// its member key exists; otherwise any live controller may, and the first commit wins. Returns nothing if a
+/// member would have to be removed that an extension vote of this controller may still protect.
 std::optional<EpochPlan> plan_epoch(const EpochInput& input);
 
-/// Assigns each team to a member: stays as it is where it can, and moves as little as balance needs. The
-/// loads differ by one team at most. Empty when there are no members.
+/// Assigns each team's shard to a member and returns member labels by team. Keeps previous owners unless
+/// balance requires a move; the numbers of teams per member differ by at most one. Returns an empty map if
+/// there are no members.
 std::map<std::string, std::string> assign_shards(const std::vector<Team>& teams,
                                                  const std::vector<std::string>& members,
                                                  const std::string& leader,
                                                  const std::map<std::string, std::string>& previous);
 
-/// Until when this controller may act. All times are of its monotonic clock.
+/// Tracks until when this controller may act. All times are monotonic.
 class LeadershipLease {
   public:
-    /// `others`: labels of all other members; each of them has to vote for an extension.
+    /// `others`: labels of all other members. An extension needs the vote of each of them.
     explicit LeadershipLease(std::vector<std::string> others) : others_(std::move(others)) {}
 
-    /// A renewal of the store lease that was sent at `sent_at` succeeded: the store keeps the lease for
-    /// `time_to_live` from a later moment.
+    /// Extends the lease after a successful renewal of the store lease. `sent_at`: when the renewal was sent,
+    /// which is before the store began to count `time_to_live`.
     void renewed(Micros sent_at, Micros time_to_live);
-    /// `voter` will not remove this controller for `time_to_live` from `requested_at`. Counts only while the
-    /// lease is alive: then every vote was given while no one could have removed this controller.
+    /// Records that `voter` promised not to remove this controller for `time_to_live` from `requested_at`.
+    /// Ignored if the lease has expired, because another controller may then have removed this one before the
+    /// vote was given.
     void record_vote(const std::string& voter, Micros requested_at, Micros time_to_live,
                      Micros monotonic_now);
-    /// The store lease, or the key of this member, is gone: the leadership lease ends at once.
+    /// Ends the leadership lease at once, because the store lease or this controller's member key no longer
+    /// exists.
     void lost();
-    /// The controller may act now.
+    /// Returns true if the controller may act now.
     bool alive(Micros monotonic_now) const { return monotonic_now < until(); }
-    /// Micros::min() when it is not held.
+    /// Returns the end of the lease; Micros::min() if it is not held.
     Micros until() const { return until_; }
 
   private:
     static Micros safe_end(Micros start, Micros time_to_live);
-    /// The time until which the votes of all others last; nothing while one is missing.
-    std::optional<Micros> end_of_full_vote() const;
+    /// Returns the time until which the votes of all other members are in force, or nothing if a vote is
+    /// missing.
+    std::optional<Micros> end_of_unanimous_vote() const;
 
     std::vector<std::string> others_;
     Micros until_ = Micros::min();
--- a/src/core/failure_detection.hpp
+++ b/src/core/failure_detection.hpp
@@ -1,7 +1,7 @@
-/// Failure detection: which unresponsive machines may be released, and how long machines and jobs with
-/// failures are left alone. A release ends an unresponsive machine's tasks for certain, long before its lease
-/// expires; but when many fall silent at once, the fault lies between them and the controllers, and they
-/// still work.
+/// Failure detection: which unresponsive machines may be released, and the backoff for machines and jobs with
+/// failures. Releasing an unresponsive machine ends its tasks reliably, long before its lease expires. If
+/// many machines become unresponsive at the same time, however, the fault is probably in the network between
+/// them and the controllers, and the machines still work.
 #pragma once
 
 #include <algorithm>
@@ -12,50 +12,52 @@
 
 namespace hatchwind::core {
 
-/// A machine and how long it has sent no heartbeat.
+/// A machine and the time since its last heartbeat.
 struct SilentMachine {
     std::string id;
     Micros silent_for{};
     bool holds_tasks = false;
 };
 
-/// How long nothing new is placed on a machine after that many errors there, each time twice as long. Less
-/// than the wait after which a job has to begin: a longer one left jobs waiting beside a machine with free
-/// capacity.
+/// Returns how long no task is placed on a machine after `errors` errors on it; doubles with each error up to
+/// kMaxDoublings. The maximum is below the wait after which a job must start (kBeginWithin). Otherwise jobs
+/// would stay queued although a machine has free capacity.
 constexpr Micros machine_backoff(int errors) {
-    constexpr Micros kFirst{2'000'000};
-    constexpr int kMostDoublings = 5;
-    return kFirst * (1 << std::min(errors, kMostDoublings));
+    constexpr Micros kInitialBackoff{2'000'000};
+    constexpr int kMaxDoublings = 5;
+    return kInitialBackoff * (1 << std::min(errors, kMaxDoublings));
 }
 
-/// Likewise for a job whose tasks fail on several machines.
+/// Returns how long no task of a job is started after `errors` errors of its tasks on several machines.
 constexpr Micros job_backoff(int errors) {
-    constexpr Micros kFirst{500'000};
-    constexpr int kMostDoublings = 6;
-    return kFirst * (1 << std::min(errors, kMostDoublings));
+    constexpr Micros kInitialBackoff{500'000};
+    constexpr int kMaxDoublings = 6;
+    return kInitialBackoff * (1 << std::min(errors, kMaxDoublings));
 }
 
-/// Of all `machines`, the ids of those that may be released now: silent for longer than `limit`, or twice as
-/// long when they hold no tasks. Empty while too many are silent for one common cause.
+/// Returns the ids of the machines that may be released now: those unresponsive for longer than `limit`, or
+/// `2 * limit` if they hold no tasks. Returns nothing if so many machines are unresponsive that a common
+/// cause is likely.
 ///
-/// `released_recently`: how many silent machines were released within the last minute. Without that count,
-/// machines that fall silent one after the other, as when their heartbeats went to a controller that is cut
-/// off, are released a few at a time until half the fleet is gone. Machines that are silent for half the
-/// limit count too: those that share a cause reach the limit shortly after one another.
+/// `released_recently`: number of unresponsive machines released within the last minute. Without this count,
+/// machines that become unresponsive one after another, for example because their heartbeats go to a
+/// partitioned controller, would be released a few at a time until half the fleet is released. Machines that
+/// have been unresponsive for half the limit are counted too, because machines with a common cause reach the
+/// limit shortly after one another.
 inline std::vector<std::string> releasable(const std::vector<SilentMachine>& machines, Micros limit,
                                            std::size_t released_recently) {
-    constexpr std::size_t kAlwaysAllowed = 2;
-    constexpr std::size_t kAllowedShareDivisor = 8;
+    constexpr std::size_t kMinUnresponsiveLimit = 2;
+    constexpr std::size_t kUnresponsiveShareDivisor = 8;
     std::vector<std::string> overdue;
-    std::size_t silent = 0;
+    std::size_t unresponsive_count = 0;
     for (const auto& machine : machines) {
-        if (machine.silent_for > limit / 2) ++silent;
-        // Those without tasks cost money only, so they get longer to come back.
+        if (machine.silent_for > limit / 2) ++unresponsive_count;
+        // Idle machines only cost money, so they get more time to recover.
         if (machine.silent_for > (machine.holds_tasks ? limit : limit * 2)) overdue.push_back(machine.id);
     }
-    const std::size_t allowed =
-        std::max(kAlwaysAllowed, (machines.size() + released_recently) / kAllowedShareDivisor);
-    if (silent + released_recently > allowed) return {};
+    const std::size_t max_unresponsive =
+        std::max(kMinUnresponsiveLimit, (machines.size() + released_recently) / kUnresponsiveShareDivisor);
+    if (unresponsive_count + released_recently > max_unresponsive) return {};
     return overdue;
 }
 
--- a/src/core/instance.hpp
+++ b/src/core/instance.hpp
@@ -1,4 +1,4 @@
-/// Instances as the cloud lists them.
+/// Instances in the cloud's inventory.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +6,11 @@
 
 namespace hatchwind::core {
 
-/// What the cloud says of an instance.
+/// State of an instance according to the cloud.
 enum class InstanceState : std::uint8_t { booting, running, failed };
 
-/// One instance of the cloud's inventory. Its machine is known to the cluster view only once its worker has
-/// sent a heartbeat.
+/// An instance in the cloud's inventory. Its machine is added to the cluster view by the first heartbeat of
+/// its worker.
 struct Instance {
     std::string machine;
     std::string address;
@@ -18,7 +18,7 @@
     std::string zone;
     bool spot = false;
     InstanceState state = InstanceState::booting;
-    double age_s = 0;  ///< seconds since it was requested, by the cloud's clock
+    double age_s = 0;  ///< seconds since the instance was requested, by the cloud's clock
 };
 
 }  // namespace hatchwind::core
--- a/src/core/job.hpp
+++ b/src/core/job.hpp
@@ -1,4 +1,4 @@
-/// Jobs as users submitted them, with what was recorded about them since.
+/// Job records: a job as submitted, its release from waiting and its cancellation.
 #pragma once
 
 #include <algorithm>
@@ -12,63 +12,65 @@
 
 namespace hatchwind::core {
 
-/// How the tasks of a job run: an array's independently of one another, a gang's all at once or not at all, a
-/// service's until somebody cancels the job.
+/// How the tasks of a job run. Tasks of an array run independently, tasks of a gang all at the same time or
+/// not at all, and tasks of a service until the job is cancelled.
 enum class JobKind : std::uint8_t { array, gang, service };
-/// In ascending order.
+/// Scheduling priority, in ascending order.
 enum class Priority : std::uint8_t { best_effort, normal, high, production };
 
-/// The team of a job that waits for others. No settings name it, so that no shard owns, places or counts such
-/// a job, and a controller of a version that does not know waiting jobs keeps it as one that is queued.
+/// Placeholder team of a job that waits for its dependencies. The settings never contain this team, so no
+/// shard owns, places or counts such a job. Controller versions without support for waiting jobs treat it as
+/// queued.
 constexpr const char* kWaitingTeam = "~waiting";
 
-/// A job's record. Times in `..._s` are seconds; `accepted` and `cancelled_at` are times of the wall clock.
+/// The record of a job. Fields named `..._s` are in seconds; `accepted` and `cancelled_at` are wall-clock
+/// times.
 struct Job {
     std::string id;
-    std::string job_class;  ///< objectives name classes
-    std::string team;       ///< kWaitingTeam while the job waits for others
+    std::string job_class;  ///< service-level objectives refer to this class
+    std::string team;       ///< kWaitingTeam while the job waits for its dependencies
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
-    Resources resources;  ///< of each task
+    Resources resources;  ///< required by each task
     std::string image;
     double image_gb = 0;
-    std::optional<std::vector<std::string>> types;  ///< machine types that it may use; all when absent
-    std::optional<std::string> zone;                ///< the only zone that it may use
-    bool one_zone = false;                          ///< all its tasks in the same zone
-    bool spread = false;                            ///< at most half of its tasks in one zone
+    std::optional<std::vector<std::string>> types;  ///< allowed machine types; absent: all
+    std::optional<std::string> zone;                ///< the only allowed zone; absent: all
+    bool one_zone = false;                          ///< all tasks must run in the same zone
+    bool spread = false;                            ///< at most half of the tasks (rounded up) in one zone
     bool spot = false;                              ///< may run on spot instances
-    double estimate_s = 0;                          ///< run time of a task as the user expects it; 0: unknown
-    double checkpoint_s = 0;                        ///< time between checkpoints; 0: it keeps none
-    double save_s = 0;                              ///< time that it takes to write one
-    std::optional<double> deadline_s;               ///< from acceptance
+    double estimate_s = 0;             ///< expected run time of a task, from the user; 0: unknown
+    double checkpoint_s = 0;           ///< interval between checkpoints; 0: no checkpoints
+    double save_s = 0;                 ///< duration of writing a checkpoint
+    std::optional<double> deadline_s;  ///< relative to `accepted`
 
     Micros accepted{};  ///< wall clock
 
-    /// While the job waits: the jobs that have to be done first, without repeats, and the team that it will
-    /// belong to. Empty for all others; the release rewrites the record.
+    /// Only for waiting jobs: ids of the jobs that must be done first, without duplicates, and the team that
+    /// the job belongs to after its release. Empty for all other jobs; the release rewrites the record.
     std::vector<std::string> dependencies;
     std::string team_once_released;
-    /// Of a dependency list that is too long for the job's own record: how many records beside it hold the
-    /// list, and the name that they have in common. `dependencies` is empty until all of them are known.
+    /// Only if the dependency list is too long for the job's own record: the name of the list and the number
+    /// of separate records that contain its parts. `dependencies` is empty until all parts are known.
     std::string dependency_list;
     std::uint32_t dependency_parts = 0;
 
     bool cancelled = false;
     Micros cancelled_at{};  ///< wall clock
 
-    /// Fields of the record that this version does not know, as JSON text; empty without any. Kept for the
-    /// version that wrote them when this one rewrites the record.
+    /// Fields of the record that this version does not know, as JSON text; empty if there are none. They are
+    /// written back unchanged when this version rewrites the record.
     std::string unknown_fields;
 
-    /// True until the jobs that it depends on are done.
+    /// Returns true until the job is released, which requires that all its dependencies are done.
     bool waiting() const { return team == kWaitingTeam; }
-    /// A waiting job always has a dependency: with an empty list its dependencies are not known here, and it
-    /// must not be released.
+    /// Returns true if the dependencies of a waiting job are known. A waiting job has at least one
+    /// dependency, so an empty list means that they are unknown and the job must not be released.
     bool dependencies_known() const { return !dependencies.empty(); }
-    /// How many of its tasks may run in one zone.
+    /// Returns the maximum number of tasks that may run in one zone.
     std::uint32_t zone_cap() const { return spread ? (tasks + 1) / 2 : tasks; }
-    /// Its tasks may run on machines of that type.
+    /// Returns true if tasks of the job may run on machines of the given type.
     bool allows_type(const std::string& type) const {
         return !types || std::find(types->begin(), types->end(), type) != types->end();
     }
--- a/src/core/job_table.cpp
+++ b/src/core/job_table.cpp
@@ -27,44 +27,44 @@
 void JobTable::add_to_machine(const JobEntry& entry, std::uint32_t task, const Attempt& attempt) {
     MachineTasks& machine = by_machine_[attempt.machine];
     machine.tasks[{entry.job.id, task}] = {&entry, attempt.number, attempt.incarnation};
-    machine.version = ++last_version_;
+    machine.version = ++last_machine_version_;
 }
 
 void JobTable::remove_from_machine(const TaskRef& ref, const std::string& machine) {
     const auto known = by_machine_.find(machine);
     if (known == by_machine_.end()) return;
     known->second.tasks.erase(ref);
-    known->second.version = ++last_version_;
+    known->second.version = ++last_machine_version_;
     if (known->second.tasks.empty()) by_machine_.erase(known);
 }
 
 void JobTable::update_indexes(const JobEntry& entry, const Chunk& before, const Chunk& after) {
-    auto old = before.open.begin();
-    auto now = after.open.begin();
-    while (old != before.open.end() || now != after.open.end()) {
-        const bool has_old = old != before.open.end();
-        const bool has_now = now != after.open.end();
-        if (has_old && has_now && *old == *now) {
-            ++old;
-            ++now;
-        } else if (has_old && (!has_now || old->first <= now->first)) {
-            remove_from_machine({entry.job.id, old->first}, old->second.machine);
-            ++old;
+    auto old_attempt = before.open.begin();
+    auto new_attempt = after.open.begin();
+    while (old_attempt != before.open.end() || new_attempt != after.open.end()) {
+        const bool has_before = old_attempt != before.open.end();
+        const bool has_after = new_attempt != after.open.end();
+        if (has_before && has_after && *old_attempt == *new_attempt) {
+            ++old_attempt;
+            ++new_attempt;
+        } else if (has_before && (!has_after || old_attempt->first <= new_attempt->first)) {
+            remove_from_machine({entry.job.id, old_attempt->first}, old_attempt->second.machine);
+            ++old_attempt;
         } else {
-            add_to_machine(entry, now->first, now->second);
-            ++now;
+            add_to_machine(entry, new_attempt->first, new_attempt->second);
+            ++new_attempt;
         }
     }
-    const double more_tasks =
+    const double added_attempts =
         static_cast<double>(after.open.size()) - static_cast<double>(before.open.size());
-    use_[entry.job.team] += entry.job.resources * more_tasks;
+    usage_[entry.job.team] += entry.job.resources * added_attempts;
 }
 
-void JobTable::move_use_to_team(const JobEntry& entry, const std::string& team) {
+void JobTable::move_usage_to_team(const JobEntry& entry, const std::string& team) {
     if (entry.job.team == team || entry.open == 0) return;
-    const Resources use = entry.job.resources * static_cast<double>(entry.open);
-    use_[entry.job.team] -= use;
-    use_[team] += use;
+    const Resources usage = entry.job.resources * static_cast<double>(entry.open);
+    usage_[entry.job.team] -= usage;
+    usage_[team] += usage;
 }
 
 void JobTable::adopt_orphans(const std::string& job) {
@@ -81,19 +81,19 @@
     const auto [known, is_new] = jobs_.try_emplace(job.id);
     JobEntry& entry = known->second;
     if (!is_new && entry.mod_revision >= mod_revision) return;
-    // A page of a released job may have been read before the record of its release: what it contains counts
-    // for the team that the job has now (JobTable.AReleaseThatIsReadLateMovesTheUseToTheTeam).
-    if (!is_new) move_use_to_team(entry, job.team);
+    // A page with attempts of a released job may be read before the record of the release. Its usage then has
+    // to move from kWaitingTeam to the job's team (JobTable.AReleaseThatIsReadLateMovesTheUseToTheTeam).
+    if (!is_new) move_usage_to_team(entry, job.team);
     entry.job = std::move(job);
     entry.mod_revision = mod_revision;
-    join_dependency_parts(entry.job);
+    set_dependencies_if_complete(entry.job);
     if (entry.job.waiting()) {
         waiting_.insert(entry.job.id);
     } else {
         waiting_.erase(entry.job.id);
     }
-    // The store is read in pieces: a page may be newer than the job's record, and come before it. Without
-    // what it says the job would look as if nothing of it had started.
+    // The store is read in ranges, so a page may be newer than the job's record and arrive before it. Without
+    // the chunks kept from such a page, all tasks of the job would look unstarted.
     if (is_new) adopt_orphans(entry.job.id);
 }
 
@@ -123,7 +123,7 @@
     known = std::move(chunk);
 }
 
-// The chunks are moved out of the map, which the check does not see.
+// The check does not recognize that the chunks are moved out of the map.
 // NOLINTNEXTLINE(performance-unnecessary-value-param)
 void JobTable::put_page(const AttemptPageKey& key, Revision mod_revision, std::map<ChunkKey, Chunk> chunks) {
     AttemptPage& page = pages_[key];
@@ -176,7 +176,7 @@
 void JobTable::put_dependency_part(const std::string& job, const std::string& list, std::uint32_t part,
                                    std::vector<std::string> ids) {
     dependency_parts_[job][{list, part}] = std::move(ids);
-    if (const auto it = jobs_.find(job); it != jobs_.end()) join_dependency_parts(it->second.job);
+    if (const auto it = jobs_.find(job); it != jobs_.end()) set_dependencies_if_complete(it->second.job);
 }
 
 void JobTable::erase_dependency_part(const std::string& job, const std::string& list, std::uint32_t part) {
@@ -186,7 +186,7 @@
     if (parts->second.empty()) dependency_parts_.erase(parts);
 }
 
-void JobTable::join_dependency_parts(Job& job) const {
+void JobTable::set_dependencies_if_complete(Job& job) const {
     const auto parts = dependency_parts_.find(job.id);
     if (!job.waiting() || job.dependency_parts == 0 || job.dependencies_known() ||
         parts == dependency_parts_.end())
@@ -204,7 +204,7 @@
     jobs_.clear();
     waiting_.clear();
     dependency_parts_.clear();
-    use_.clear();
+    usage_.clear();
     by_machine_.clear();
     orphans_.clear();
     pages_.clear();
@@ -225,8 +225,8 @@
 }
 
 Resources JobTable::team_use(const std::string& team) const {
-    const auto it = use_.find(team);
-    return it == use_.end() ? Resources{} : it->second;
+    const auto it = usage_.find(team);
+    return it == usage_.end() ? Resources{} : it->second;
 }
 
 const RecordedAttempts& JobTable::on_machine(const std::string& machine) const {
--- a/src/core/machine.hpp
+++ b/src/core/machine.hpp
@@ -1,4 +1,4 @@
-/// The types of machines that the cloud offers.
+/// Machine types offered by the cloud.
 #pragma once
 
 #include <map>
@@ -10,16 +10,16 @@
 
 namespace hatchwind::core {
 
-/// One machine type of the cloud's catalog.
+/// A machine type in the cloud's catalog.
 struct MachineType {
     std::string name;
     Resources size;
-    double cache_gb = 0;             ///< image cache, in gigabytes
-    double fetch_gb_per_s = 1;       ///< rate at which images are fetched
-    double price = 0;                ///< of an on-demand instance, per unit of time that the cloud bills
+    double cache_gb = 0;             ///< capacity of the image cache, in gigabytes
+    double fetch_gb_per_s = 1;       ///< image fetch rate, in gigabytes per second
+    double price = 0;                ///< of an on-demand instance, per billing time unit of the cloud
     double spot_price = 0;           ///< of a spot instance, in the same unit
     Micros boot{};                   ///< time from the request until the worker's first heartbeat
-    std::vector<std::string> zones;  ///< zones that offer it
+    std::vector<std::string> zones;  ///< zones where the type is available
 };
 /// Machine types by name.
 using Catalog = std::map<std::string, MachineType>;
--- a/src/core/model.hpp
+++ b/src/core/model.hpp
@@ -1,5 +1,5 @@
-/// All types of the scheduler's model, for callers that need most of them. Code of the core includes the
-/// header of each concept instead.
+/// Includes all headers of the scheduler's data model, for callers that need most of them. Code in core/
+/// includes the individual headers instead.
 #pragma once
 
 #include "core/instance.hpp"
--- a/src/core/revision.hpp
+++ b/src/core/revision.hpp
@@ -5,7 +5,7 @@
 
 namespace hatchwind::core {
 
-/// A revision of the store. As the mod revision of a key, 0 means that the key does not exist.
+/// A revision of the store. A mod revision of 0 means that the key does not exist.
 using Revision = std::uint64_t;
 
 }  // namespace hatchwind::core
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -1,6 +1,7 @@
-/// Time as the core uses it. Two clocks meet here: the wall clock (time of day, comparable between machines
-/// up to their skew) and the monotonic clock (comparable only within one process). Names say which one is
-/// meant: `wall_clock_now` and `..._at` beside a job, `monotonic_now` elsewhere.
+/// Time types of the core. The core uses two clocks: the wall clock (time of day, comparable between machines
+/// up to clock skew) and the monotonic clock (comparable only within one process). `wall_clock_now` and the
+/// `..._at` fields of jobs are wall-clock times; other times named `..._at` and `monotonic_now` are monotonic
+/// unless documented otherwise.
 #pragma once
 
 #include <chrono>
@@ -8,18 +9,19 @@
 
 namespace hatchwind::core {
 
-/// A duration, or a point of either clock as the time since that clock's start. Microseconds.
+/// A duration, or a point in time as the duration since the epoch of its clock, in microseconds.
 using Micros = std::chrono::microseconds;
 
-/// For the arithmetic of rates, which is done in `double`.
+/// For calculations with rates, which use `double`.
 inline constexpr double kMicrosPerSecond = 1e6;
 
-/// Settings and wire messages give durations in seconds; what is less than a microsecond is cut off.
+/// Converts seconds, the unit in settings and wire messages, to microseconds. Truncates fractions of a
+/// microsecond.
 constexpr Micros from_seconds(double seconds) {
     return Micros{static_cast<std::int64_t>(seconds * kMicrosPerSecond)};
 }
 
-/// A duration in seconds.
+/// Converts a duration to seconds.
 constexpr double to_seconds(Micros duration) {
     return static_cast<double>(duration.count()) / kMicrosPerSecond;
 }
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -121,7 +121,7 @@
 TEST(StaleHeartbeats, MemoryOfReleasedMachinesIsBoundedAndWhatIsForgottenIsNotUsed) {
     core::ClusterView p;
     const auto name = [](int i) { return "n-" + std::to_string(100000 + i); };
-    const int most = static_cast<int>(core::ReleasedMachines::kMostKept);
+    const int most = static_cast<int>(core::ReleasedMachines::kMaxEntries);
     for (int i = 0; i <= most; ++i) p.release(name(i), Micros{1});
     EXPECT_TRUE(p.released(name(most)));
     EXPECT_TRUE(p.released(name(1)));
@@ -142,7 +142,7 @@
     for (int i = 0; i < kFleet * kFleets; ++i) EXPECT_TRUE(released.add(name(i), Micros{1}));
     EXPECT_FALSE(released.add(name(0), Micros{2}));
     for (int i = 0; i < kFleet * kFleets; ++i) ASSERT_TRUE(released.contains(name(i)));
-    released.add("later", core::ReleasedMachines::kKeptFor + Micros{2});
+    released.add("later", core::ReleasedMachines::kRetention + Micros{2});
     EXPECT_FALSE(released.contains(name(kFleet))) << "kept for ever";
     EXPECT_TRUE(released.contains("later"));
 }
@@ -161,7 +161,7 @@
             told.insert(told.end(), news.machines.begin(), news.machines.end());
             position = news.position;
         }
-        const auto rest = released.since(position, core::ReleasedMachines::kMostKept);
+        const auto rest = released.since(position, core::ReleasedMachines::kMaxEntries);
         told.insert(told.end(), rest.machines.begin(), rest.machines.end());
         RC_ASSERT(static_cast<int>(told.size()) == added);
         for (int i = 0; i < added; ++i)
