--- a/src/core/cluster_view.cpp
+++ b/src/core/cluster_view.cpp
@@ -143,7 +143,7 @@
 
 std::size_t ClusterView::longest_name() const {
     std::size_t max_length = kTypicalMachineIdLength;
-    for (const auto& [id, view] : machines_) longest = std::max(max_length, id.size());
+    for (const auto& [id, view] : machines_) max_length = std::max(max_length, id.size());
     return max_length;
 }
 
--- a/src/core/dependency_graph.hpp
+++ b/src/core/dependency_graph.hpp
@@ -34,8 +34,7 @@
 
 /// Combined status of a set of jobs and their direct and transitive dependencies.
 struct Ancestry {
-    bool cancelled =
-        false;  ///< at least one of these jobs is cancelled; the other fields may then be incomplete
+    bool cancelled = false;  ///< one of the jobs is cancelled; the other fields may be incomplete
     bool complete = true;  ///< false: the dependencies of at least one waiting job are unknown
     /// Ended jobs whose terminal state is unknown, without duplicates.
     std::vector<std::string> unknown_terminal_states;
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -9,7 +9,7 @@
 
 namespace hatchwind::core {
 
-/// A duration, or a point in time as the duration since the epoch of its clock, in microseconds.
+/// A duration, or a point in time as the duration since the start of its clock, in microseconds.
 using Micros = std::chrono::microseconds;
 
 /// For calculations with rates, which use `double`.
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,4 +1,4 @@
-// The graph of waiting jobs against a plain model.
+// Tests of the dependency graph: against a brute-force model, in complete runs, and on a very long chain.
 #include "core/dependency_graph.hpp"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 using core::TerminalState;
 using test::holds;
 
-enum class AttemptStatus : std::uint8_t {
+enum class JobState : std::uint8_t {
     running,
     running_cancelled,
     waiting,
@@ -22,33 +22,33 @@
 };
 
 struct Graph {
-    std::vector<AttemptStatus> fates;
-    std::vector<std::set<std::size_t>> needs;  // of waiting jobs, all of lower number
-    std::set<std::size_t> known;               // whose ending is known
-    std::set<std::size_t> hidden;              // whose list of needs is not known
-    std::set<std::size_t> mine;
+    std::vector<JobState> states;
+    std::vector<std::set<std::size_t>> dependencies;  // by waiting job; dependencies have lower numbers
+    std::set<std::size_t> known_terminal_states;      // jobs whose terminal state is known
+    std::set<std::size_t> unknown_dependencies;       // jobs whose dependencies are unknown
+    std::set<std::size_t> selected;                   // jobs that the plan selects
 
     static std::string id(std::size_t i) { return "req-" + std::to_string(i); }
-    std::optional<TerminalState> ending(const std::string& job) const {
+    std::optional<TerminalState> terminal_state(const std::string& job) const {
         const std::size_t i = std::stoul(job.substr(4));
-        if (!known.contains(i)) return std::nullopt;
-        if (fates[i] == AttemptStatus::done) return TerminalState::done;
-        if (fates[i] == AttemptStatus::cancelled) return TerminalState::cancelled;
+        if (!known_terminal_states.contains(i)) return std::nullopt;
+        if (states[i] == JobState::done) return TerminalState::done;
+        if (states[i] == JobState::cancelled) return TerminalState::cancelled;
         return std::nullopt;
     }
     core::JobTable job_table() const {
         core::JobTable job_table;
-        for (std::size_t i = 0; i < fates.size(); ++i) {
-            if (fates[i] == AttemptStatus::done || fates[i] == AttemptStatus::cancelled) continue;
-            const bool waits =
-                fates[i] == AttemptStatus::waiting || fates[i] == AttemptStatus::waiting_cancelled;
+        for (std::size_t i = 0; i < states.size(); ++i) {
+            if (states[i] == JobState::done || states[i] == JobState::cancelled) continue;
+            const bool waits = states[i] == JobState::waiting || states[i] == JobState::waiting_cancelled;
             core::Job job = test::job(id(i), waits ? core::kWaitingTeam : "x", 1, 1);
             job.cancelled =
-                fates[i] == AttemptStatus::running_cancelled || fates[i] == AttemptStatus::waiting_cancelled;
+                states[i] == JobState::running_cancelled || states[i] == JobState::waiting_cancelled;
             if (waits) {
-                job.team_once_released = mine.contains(i) ? "x" : "y";
-                if (!hidden.contains(i)) {
-                    for (const std::size_t resources : needs[i]) job.dependencies.push_back(id(resources));
+                job.team_once_released = selected.contains(i) ? "x" : "y";
+                if (!unknown_dependencies.contains(i)) {
+                    for (const std::size_t dependency : dependencies[i])
+                        job.dependencies.push_back(id(dependency));
                 }
             }
             job_table.put_job(job, i + 1);
@@ -58,48 +58,49 @@
 };
 
 Graph draw_graph() {
-    Graph g;
-    const std::size_t n = *rc::gen::inRange<std::size_t>(1, 40);
-    for (std::size_t i = 0; i < n; ++i) {
-        g.needs.emplace_back();
-        AttemptStatus status = *rc::gen::element(
-            AttemptStatus::running, AttemptStatus::running_cancelled, AttemptStatus::waiting,
-            AttemptStatus::waiting, AttemptStatus::waiting, AttemptStatus::waiting_cancelled,
-            AttemptStatus::done, AttemptStatus::done, AttemptStatus::cancelled);
-        // Rarely a cancelled one, or nearly all would be.
-        if ((status == AttemptStatus::running_cancelled || status == AttemptStatus::cancelled ||
-             status == AttemptStatus::waiting_cancelled) &&
+    Graph graph;
+    const std::size_t job_count = *rc::gen::inRange<std::size_t>(1, 40);
+    for (std::size_t i = 0; i < job_count; ++i) {
+        graph.dependencies.emplace_back();
+        JobState state = *rc::gen::element(JobState::running, JobState::running_cancelled, JobState::waiting,
+                                           JobState::waiting, JobState::waiting, JobState::waiting_cancelled,
+                                           JobState::done, JobState::done, JobState::cancelled);
+        // Cancelled jobs are rare; otherwise nearly all waiting jobs would be cancelled.
+        if ((state == JobState::running_cancelled || state == JobState::cancelled ||
+             state == JobState::waiting_cancelled) &&
             *rc::gen::inRange(0, 3) != 0)
-            status = AttemptStatus::done;
-        if (i == 0 && status == AttemptStatus::waiting) status = AttemptStatus::running;
-        g.fates.push_back(status);
-        if (status == AttemptStatus::waiting || status == AttemptStatus::waiting_cancelled) {
+            state = JobState::done;
+        if (i == 0 && state == JobState::waiting) state = JobState::running;
+        graph.states.push_back(state);
+        if (state == JobState::waiting || state == JobState::waiting_cancelled) {
             const int count = *rc::gen::inRange(1, 4);
-            for (int k = 0; k < count && i > 0; ++k) g.needs[i].insert(*rc::gen::inRange<std::size_t>(0, i));
-            if (*rc::gen::inRange(0, 20) == 0) g.hidden.insert(i);
+            for (int k = 0; k < count && i > 0; ++k)
+                graph.dependencies[i].insert(*rc::gen::inRange<std::size_t>(0, i));
+            if (*rc::gen::inRange(0, 20) == 0) graph.unknown_dependencies.insert(i);
         }
-        if (*rc::gen::inRange(0, 4) != 0) g.known.insert(i);
-        if (*rc::gen::arbitrary<bool>()) g.mine.insert(i);
+        if (*rc::gen::inRange(0, 4) != 0) graph.known_terminal_states.insert(i);
+        if (*rc::gen::arbitrary<bool>()) graph.selected.insert(i);
     }
-    return g;
+    return graph;
 }
 
-// Jobs that are cancelled, as far as it is known, by going over all of them until nothing changes.
-std::set<std::size_t> cancelled_in_model(const Graph& g) {
+// Returns the jobs known to be cancelled. Propagates cancellations until nothing changes.
+std::set<std::size_t> cancelled_in_model(const Graph& graph) {
     std::set<std::size_t> cancelled;
-    for (std::size_t i = 0; i < g.fates.size(); ++i) {
-        if (g.fates[i] == AttemptStatus::running_cancelled ||
-            g.fates[i] == AttemptStatus::waiting_cancelled ||
-            (g.fates[i] == AttemptStatus::cancelled && g.known.contains(i)))
+    for (std::size_t i = 0; i < graph.states.size(); ++i) {
+        if (graph.states[i] == JobState::running_cancelled ||
+            graph.states[i] == JobState::waiting_cancelled ||
+            (graph.states[i] == JobState::cancelled && graph.known_terminal_states.contains(i)))
             cancelled.insert(i);
     }
     for (bool changed = true; changed;) {
         changed = false;
-        for (std::size_t i = 0; i < g.fates.size(); ++i) {
-            if (g.fates[i] != AttemptStatus::waiting || g.hidden.contains(i) || cancelled.contains(i))
+        for (std::size_t i = 0; i < graph.states.size(); ++i) {
+            if (graph.states[i] != JobState::waiting || graph.unknown_dependencies.contains(i) ||
+                cancelled.contains(i))
                 continue;
-            for (const std::size_t resources : g.needs[i]) {
-                if (cancelled.contains(resources)) changed = cancelled.insert(i).second || changed;
+            for (const std::size_t dependency : graph.dependencies[i]) {
+                if (cancelled.contains(dependency)) changed = cancelled.insert(i).second || changed;
             }
         }
     }
@@ -119,29 +120,29 @@
 };
 
 bool is_waiting(const Graph& graph, std::size_t job) {
-    return graph.fates[job] == AttemptStatus::waiting || graph.fates[job] == AttemptStatus::waiting_cancelled;
+    return graph.states[job] == JobState::waiting || graph.states[job] == JobState::waiting_cancelled;
 }
 
-// Adds a job that waits and is not cancelled.
+// Adds the expected action for a waiting job that is not cancelled.
 void expect_for_waiting_job(const Graph& graph, std::size_t job, ExpectedPlan& plan) {
     bool all_done = true;
-    for (const std::size_t dependency : graph.needs[job]) {
-        const AttemptStatus fate = graph.fates[dependency];
-        const bool known = graph.known.contains(dependency);
-        const bool ended = fate == AttemptStatus::done || fate == AttemptStatus::cancelled;
+    for (const std::size_t dependency : graph.dependencies[job]) {
+        const JobState state = graph.states[dependency];
+        const bool known = graph.known_terminal_states.contains(dependency);
+        const bool ended = state == JobState::done || state == JobState::cancelled;
         if (ended && !known) plan.unknown_terminal_states.insert(Graph::id(dependency));
-        all_done = all_done && fate == AttemptStatus::done && known;
+        all_done = all_done && state == JobState::done && known;
     }
     if (all_done) plan.release.insert(Graph::id(job));
 }
 
 ExpectedPlan plan_in_model(const Graph& graph, const std::set<std::size_t>& cancelled) {
     ExpectedPlan plan;
-    for (std::size_t job = 0; job < graph.fates.size(); ++job) {
-        if (!is_waiting(graph, job) || !graph.mine.contains(job)) continue;
+    for (std::size_t job = 0; job < graph.states.size(); ++job) {
+        if (!is_waiting(graph, job) || !graph.selected.contains(job)) continue;
         if (cancelled.contains(job)) {
             plan.cancel.insert(Graph::id(job));
-        } else if (!graph.hidden.contains(job)) {
+        } else if (!graph.unknown_dependencies.contains(job)) {
             expect_for_waiting_job(graph, job, plan);
         }
     }
@@ -152,23 +153,24 @@
     holds("random graphs, endings and cancels", [] {
         const Graph graph = draw_graph();
         const core::JobTable job_table = graph.job_table();
-        const auto ending = [&](const std::string& job) { return graph.ending(job); };
+        const auto terminal_state = [&](const std::string& job) { return graph.terminal_state(job); };
         const auto plan = core::plan_dependencies(
-            job_table, ending, [](const core::Job& job) { return job.team_once_released == "x"; });
+            job_table, terminal_state, [](const core::Job& job) { return job.team_once_released == "x"; });
         const std::set<std::size_t> cancelled = cancelled_in_model(graph);
         const ExpectedPlan expected = plan_in_model(graph, cancelled);
         RC_ASSERT(as_set(plan.release) == expected.release);
         RC_ASSERT(as_set(plan.cancel) == expected.cancel);
         RC_ASSERT(as_set(plan.unknown_terminal_states) == expected.unknown_terminal_states);
-        for (std::size_t job = 0; job < graph.fates.size(); ++job) {
+        for (std::size_t job = 0; job < graph.states.size(); ++job) {
             if (!is_waiting(graph, job)) continue;
-            const auto ancestry = core::look_back(job_table, {Graph::id(job)}, ending);
-            RC_ASSERT(ancestry.cancelled == cancelled.contains(job));
+            const auto status = core::look_back(job_table, {Graph::id(job)}, terminal_state);
+            RC_ASSERT(status.cancelled == cancelled.contains(job));
         }
     });
 }
 
-// Jobs that wait for one another, and a cluster in which one after the other ends, in any order.
+// Jobs with dependencies on each other, in a cluster where jobs that can run end one at a time in random
+// order.
 class DependentJobs {
   public:
     DependentJobs() : dependencies_(*rc::gen::inRange<std::size_t>(2, 25)) {
@@ -177,21 +179,21 @@
 
     bool all_ended() const { return job_table_.jobs().empty(); }
 
-    // What the plan says is done at once. A job is released only when all that it needs is done.
-    void carry_out_plan() {
-        const auto ending = [this](const std::string& job) -> std::optional<TerminalState> {
-            const auto it = endings_.find(job);
-            return it == endings_.end() ? std::nullopt : std::optional{it->second};
+    // Applies the plan immediately. Checks that a job is released only if all its dependencies are done.
+    void apply_plan() {
+        const auto terminal_state = [this](const std::string& job) -> std::optional<TerminalState> {
+            const auto it = terminal_states_.find(job);
+            return it == terminal_states_.end() ? std::nullopt : std::optional{it->second};
         };
-        const auto plan =
-            core::plan_dependencies(job_table_, ending, [](const core::Job& /*job*/) { return true; });
+        const auto plan = core::plan_dependencies(job_table_, terminal_state,
+                                                  [](const core::Job& /*job*/) { return true; });
         RC_ASSERT(plan.unknown_terminal_states.empty());
         for (const auto& id : plan.release) release(id);
         for (const auto& id : plan.cancel) end(id, TerminalState::cancelled);
     }
 
-    // One of those that run; without any, none may be left.
-    void end_one() {
+    // Ends a random job that is not waiting. If there is none, no job may be left.
+    void end_random_job() {
         std::vector<std::string> runnable;
         for (const auto& [id, entry] : job_table_.jobs()) {
             if (!entry.job.waiting()) runnable.push_back(id);
@@ -204,11 +206,11 @@
         end(ended, *rc::gen::inRange(0, 8) == 0 ? TerminalState::cancelled : TerminalState::done);
     }
 
-    void check_endings() const {
+    void check_terminal_states() const {
         for (std::size_t number = 0; number < dependencies_.size(); ++number) {
             for (const std::size_t dependency : dependencies_[number]) {
-                if (endings_.at(Graph::id(dependency)) == TerminalState::cancelled)
-                    RC_ASSERT(endings_.at(Graph::id(number)) == TerminalState::cancelled);
+                if (terminal_states_.at(Graph::id(dependency)) == TerminalState::cancelled)
+                    RC_ASSERT(terminal_states_.at(Graph::id(number)) == TerminalState::cancelled);
             }
         }
     }
@@ -226,35 +228,35 @@
     }
     void release(const std::string& id) {
         for (const std::size_t dependency : dependencies_[std::stoul(id.substr(4))])
-            RC_ASSERT(endings_.at(Graph::id(dependency)) == TerminalState::done);
+            RC_ASSERT(terminal_states_.at(Graph::id(dependency)) == TerminalState::done);
         core::Job job = job_table_.find(id)->job;
         job.team = "x";
         job_table_.put_job(job, ++revision_);
     }
     void end(const std::string& id, TerminalState state) {
-        endings_[id] = state;
+        terminal_states_[id] = state;
         job_table_.erase_job(id, ++revision_);
     }
 
-    std::vector<std::set<std::size_t>> dependencies_;  // by the job's number; all have lower ones
+    std::vector<std::set<std::size_t>> dependencies_;  // by job number; dependencies have lower numbers
     core::JobTable job_table_;
-    std::map<std::string, TerminalState> endings_;
+    std::map<std::string, TerminalState> terminal_states_;
     core::Revision revision_ = 0;
 };
 
-// Each waiting job is released when the last job that it needs is done and never before, or cancelled.
+// Guards against jobs that are released early, or neither released nor cancelled.
 TEST(DependencyGraph, EveryJobIsReleasedOnceAllItNeedsIsDoneOrIsCancelled) {
     holds("from the first job to the last", [] {
         DependentJobs jobs;
         while (!jobs.all_ended()) {
-            jobs.carry_out_plan();
-            jobs.end_one();
+            jobs.apply_plan();
+            jobs.end_random_job();
         }
-        jobs.check_endings();
+        jobs.check_terminal_states();
     });
 }
 
-// Far deeper than any stack would bear.
+// Guards against recursion, which would overflow the stack on a chain of this length.
 TEST(DependencyGraph, ChainsAndFansOfAnyLengthAreCancelledInOneStep) {
     constexpr std::size_t kJobs = 100'000;
     core::JobTable job_table;
--- a/tests/epoch_test.cpp
+++ b/tests/epoch_test.cpp
@@ -13,359 +13,370 @@
 using core::Micros;
 using test::holds;
 
-constexpr Micros kLife{2'000'000};
-constexpr Micros kPromise{1'000'000};
+constexpr Micros kStoreLeaseTtl{2'000'000};
+constexpr Micros kVoteTtl{1'000'000};
 
-std::vector<core::Team> teams(int n) {
-    std::vector<core::Team> out;
-    out.reserve(static_cast<std::size_t>(n));
-    for (int i = 0; i < n; ++i) out.push_back({"t" + std::to_string(i), 1, 2, 0, 0});
-    return out;
+std::vector<core::Team> teams(int count) {
+    std::vector<core::Team> result;
+    result.reserve(static_cast<std::size_t>(count));
+    for (int i = 0; i < count; ++i) result.push_back({"t" + std::to_string(i), 1, 2, 0, 0});
+    return result;
 }
 
 TEST(ShardAssignment, GivesEveryTeamALiveShardOwnerAndMovesFew) {
     holds("assignment", [] {
-        const auto ts = teams(*rc::gen::inRange(1, 9));
+        const auto assigned_teams = teams(*rc::gen::inRange(1, 9));
         std::map<std::string, std::string> before;
         for (int round = 0; round < 4; ++round) {
             std::vector<std::string> members;
-            for (const char* m : {"a", "b", "c"}) {
-                if (*rc::gen::arbitrary<bool>()) members.emplace_back(m);
+            for (const char* member : {"a", "b", "c"}) {
+                if (*rc::gen::arbitrary<bool>()) members.emplace_back(member);
             }
             if (members.empty()) continue;
-            const auto out = core::assign_shards(ts, members, members.front(), before);
-            RC_ASSERT(out.size() == ts.size());
+            const auto owners = core::assign_shards(assigned_teams, members, members.front(), before);
+            RC_ASSERT(owners.size() == assigned_teams.size());
             std::map<std::string, std::size_t> load;
-            for (const auto& m : members) load[m] = 0;
-            for (const auto& [t, o] : out) {
-                RC_ASSERT(load.contains(o));
-                ++load[o];
+            for (const auto& member : members) load[member] = 0;
+            for (const auto& [team, owner] : owners) {
+                RC_ASSERT(load.contains(owner));
+                ++load[owner];
             }
-            for (const auto& [m, n] : load) {
-                RC_ASSERT(n >= ts.size() / members.size());
-                RC_ASSERT(n <= (ts.size() + members.size() - 1) / members.size());
+            for (const auto& [member, count] : load) {
+                RC_ASSERT(count >= assigned_teams.size() / members.size());
+                RC_ASSERT(count <= (assigned_teams.size() + members.size() - 1) / members.size());
             }
-            RC_ASSERT(core::assign_shards(ts, members, members.front(), out) == out);
-            before = out;
+            RC_ASSERT(core::assign_shards(assigned_teams, members, members.front(), owners) == owners);
+            before = owners;
         }
     });
 }
 
 TEST(LeadershipLease, EndsBeforeTheStoreLeaseCouldAndNeedsEveryVote) {
-    LeadershipLease m({"b", "c"});
-    EXPECT_FALSE(m.alive(Micros{0}));
-    m.renewed(Micros{10'000'000}, kLife);
-    EXPECT_LT(m.until(), Micros{12'000'000});
-    const Micros end = m.until();
-    m.record_vote("b", Micros{11'500'000}, kPromise, Micros{11'600'000});
-    EXPECT_EQ(m.until(), end) << "one of two votes extends nothing";
-    m.record_vote("c", Micros{11'500'000}, kPromise, Micros{11'600'000});
-    EXPECT_GT(m.until(), end);
-    EXPECT_LT(m.until(), Micros{12'500'000});
-    const Micros longer = m.until();
-    // Too late: by now somebody may have removed this controller, and then voted.
-    m.record_vote("b", Micros{12'600'000}, kPromise, Micros{12'600'000});
-    m.record_vote("c", Micros{12'600'000}, kPromise, Micros{12'600'000});
-    EXPECT_EQ(m.until(), longer);
+    LeadershipLease lease({"b", "c"});
+    EXPECT_FALSE(lease.alive(Micros{0}));
+    lease.renewed(Micros{10'000'000}, kStoreLeaseTtl);
+    EXPECT_LT(lease.until(), Micros{12'000'000});
+    const Micros end = lease.until();
+    lease.record_vote("b", Micros{11'500'000}, kVoteTtl, Micros{11'600'000});
+    EXPECT_EQ(lease.until(), end) << "one of two votes extends nothing";
+    lease.record_vote("c", Micros{11'500'000}, kVoteTtl, Micros{11'600'000});
+    EXPECT_GT(lease.until(), end);
+    EXPECT_LT(lease.until(), Micros{12'500'000});
+    const Micros extended_end = lease.until();
+    // Votes after the lease has expired do not count: another controller may have removed this one before
+    // voting.
+    lease.record_vote("b", Micros{12'600'000}, kVoteTtl, Micros{12'600'000});
+    lease.record_vote("c", Micros{12'600'000}, kVoteTtl, Micros{12'600'000});
+    EXPECT_EQ(lease.until(), extended_end);
 }
 
-// Controllers, a store that they may each lose, messages that come late, repeated or never, crashes and
-// restarts, with the rules that the membership duty follows. No incarnation may hold a leadership lease once
-// an epoch without it is written, and the fencing token never falls.
-class World {
+// Simulates controllers that follow the rules of the membership loop. The store may be unreachable for some
+// of them, messages are delayed, duplicated or lost, and controllers crash and restart. Checks that no
+// controller run holds a leadership lease after an epoch without it was written, and that the fencing token
+// never decreases.
+class MembershipSimulation {
   public:
     void run(int steps) {
-        for (int i = 0; i < 3; ++i) boot(i);
-        for (int s = 0; s < steps; ++s) {
+        for (int i = 0; i < 3; ++i) start_controller(i);
+        for (int step = 0; step < steps; ++step) {
             now_ += Micros{*rc::gen::element(20'000, 60'000, 150'000, 400'000)};
-            expire();
+            expire_store_leases();
             deliver();
             const int i = *rc::gen::inRange(0, 3);
             switch (*rc::gen::inRange(0, 16)) {
                 case 0:
-                    crash_and_boot(i);
+                    restart_controller(i);
                     break;
                 case 1:
-                    refused_[i] = !refused_[i];
+                    refused_by_store_[i] = !refused_by_store_[i];
                     break;
                 case 2:
-                    outage(!down_);
+                    set_store_down(!store_down_);
                     break;
                 case 3:
-                    cut_[i] = !cut_[i];
+                    partitioned_[i] = !partitioned_[i];
                     break;
                 case 4:
-                    deaf_[i] = !deaf_[i];
-                    break;  // what it sends arrives, but no answer does
+                    responses_lost_[i] = !responses_lost_[i];  // requests arrive, but responses are lost
+                    break;
                 case 5:
-                    for (int n = 0; n < 3; ++n) crash_and_boot(n);
+                    for (int n = 0; n < 3; ++n) restart_controller(n);
                     break;
                 default:
                     break;
             }
-            for (int n = 0; n < 3; ++n) act(n);
+            for (int n = 0; n < 3; ++n) step_controller(n);
             check();
         }
         RC_TAG(epoch_.number > 1 ? "epochs changed" : "one epoch");
     }
 
   private:
-    struct Life {
+    struct Controller {
         core::Member self;
         std::unique_ptr<LeadershipLease> leadership_lease;
         Micros started{};
         Micros asked{};
-        Micros failing{};  // 0: the last call was answered
+        Micros unreachable_since{};  // 0: the last request was answered
         std::map<std::string, Micros> protected_members;
-        std::optional<core::Revision> unresolved;
+        std::optional<core::Revision> uncertain_write;
     };
-    struct Write {
+    struct EpochWrite {
         core::EpochPlan plan;
-        core::Revision on = 0;
-        Micros at{};
+        core::Revision expected_revision = 0;
+        Micros due_at{};
     };
 
-    // A write of an incarnation's own key that may be carried out late, or once more.
-    struct KeyPut {
+    // A write of a controller run's own member key, which the store may apply late or twice.
+    struct KeyWrite {
         std::string label;
         std::uint64_t store_lease = 0;
-        core::Revision on = 0;
-        Micros at{};
+        core::Revision expected_revision = 0;
+        Micros due_at{};
     };
 
     static std::string label(int i) { return {static_cast<char>('a' + i)}; }
-    bool store_ok(int i) const { return !down_ && !refused_[i] && !cut_[i] && !deaf_[i]; }
-    core::Revision key_revision(const std::string& l) const {
-        const auto it = nodes_.find(l);
-        return it == nodes_.end() ? 0 : it->second.mod_revision;
+    bool reaches_store(int i) const {
+        return !store_down_ && !refused_by_store_[i] && !partitioned_[i] && !responses_lost_[i];
+    }
+    core::Revision key_revision(const std::string& member_label) const {
+        const auto record = member_records_.find(member_label);
+        return record == member_records_.end() ? 0 : record->second.mod_revision;
     }
-    bool apply(const KeyPut& p) {
-        // Conditional on the key as the writer saw it.
-        if (!grants_.contains(p.store_lease) || key_revision(p.label) != p.on) return false;
-        nodes_[p.label] = {p.store_lease, ++revision_};
+    bool apply(const KeyWrite& write) {
+        // Conditional on the revision of the key that the writer read.
+        if (!store_leases_.contains(write.store_lease) ||
+            key_revision(write.label) != write.expected_revision)
+            return false;
+        member_records_[write.label] = {write.store_lease, ++revision_};
         return true;
     }
 
-    void boot(int i) {
-        Life l;
-        l.self.label = label(i);
+    void start_controller(int i) {
+        Controller controller;
+        controller.self.label = label(i);
         std::vector<std::string> others;
         for (int k = 0; k < 3; ++k) {
             if (k != i) others.push_back(label(k));
         }
-        l.leadership_lease = std::make_unique<LeadershipLease>(others);
-        l.started = now_;
-        lives_[i] = std::move(l);
+        controller.leadership_lease = std::make_unique<LeadershipLease>(others);
+        controller.started = now_;
+        controllers_[i] = std::move(controller);
     }
-    void crash_and_boot(int i) { boot(i); }
-    void outage(bool on) {
-        if (down_ && !on) {
-            for (auto& [g, until] : grants_) until = now_ + kLife;  // all leases get their full time again
+    void restart_controller(int i) { start_controller(i); }
+    void set_store_down(bool store_down) {
+        if (store_down_ && !store_down) {
+            // The store grants all leases their full time to live after an outage.
+            for (auto& [store_lease, expires_at] : store_leases_) expires_at = now_ + kStoreLeaseTtl;
         }
-        down_ = on;
+        store_down_ = store_down;
     }
-    void expire() {
-        if (down_) return;
-        for (auto it = grants_.begin(); it != grants_.end();) {
-            if (it->second > now_) {
-                ++it;
+    void expire_store_leases() {
+        if (store_down_) return;
+        for (auto lease = store_leases_.begin(); lease != store_leases_.end();) {
+            if (lease->second > now_) {
+                ++lease;
                 continue;
             }
-            std::erase_if(nodes_, [&](const auto& n) { return n.second.store_lease == it->first; });
-            it = grants_.erase(it);
+            std::erase_if(member_records_,
+                          [&](const auto& record) { return record.second.store_lease == lease->first; });
+            lease = store_leases_.erase(lease);
         }
     }
-    void apply(const Write& w) {
-        if (epoch_.mod_revision != w.on) return;
-        for (const auto& [l, mod_revision] : w.plan.member_conditions) {
-            const auto it = nodes_.find(l);
-            if ((it == nodes_.end() ? 0 : it->second.mod_revision) != mod_revision) return;
+    void apply(const EpochWrite& write) {
+        if (epoch_.mod_revision != write.expected_revision) return;
+        for (const auto& [member_label, mod_revision] : write.plan.member_conditions) {
+            const auto record = member_records_.find(member_label);
+            if ((record == member_records_.end() ? 0 : record->second.mod_revision) != mod_revision) return;
         }
-        RC_ASSERT(w.plan.next.number > epoch_.number);
-        epoch_ = w.plan.next;
+        RC_ASSERT(write.plan.next.number > epoch_.number);
+        epoch_ = write.plan.next;
         epoch_.mod_revision = ++revision_;
     }
     void deliver() {
-        if (down_) return;
-        const auto arrive = [&](auto& queue) {
-            for (auto it = queue.begin(); it != queue.end();) {
-                if (it->at > now_) {
-                    ++it;
+        if (store_down_) return;
+        const auto apply_due = [&](auto& queue) {
+            for (auto write = queue.begin(); write != queue.end();) {
+                if (write->due_at > now_) {
+                    ++write;
                     continue;
                 }
-                apply(*it);
-                it = queue.erase(it);
+                apply(*write);
+                write = queue.erase(write);
             }
         };
-        arrive(late_puts_);
-        arrive(late_);
+        apply_due(delayed_key_writes_);
+        apply_due(delayed_epoch_writes_);
     }
-    void act(int i) {
-        Life& life = lives_[i];
-        const bool reached = store_ok(i);
-        if (reached) {
-            life.failing = Micros{0};
-        } else if (life.failing.count() == 0) {
-            life.failing = now_;
+    void step_controller(int i) {
+        Controller& controller = controllers_[i];
+        const bool store_reachable = reaches_store(i);
+        if (store_reachable) {
+            controller.unreachable_since = Micros{0};
+        } else if (controller.unreachable_since.count() == 0) {
+            controller.unreachable_since = now_;
         }
-        if (deaf_[i] && !down_ && !refused_[i] && life.self.store_lease != 0 &&
-            grants_.contains(life.self.store_lease)) {
-            grants_[life.self.store_lease] = now_ + kLife;  // a renewal of whose answer it hears nothing
+        if (responses_lost_[i] && !store_down_ && !refused_by_store_[i] && controller.self.store_lease != 0 &&
+            store_leases_.contains(controller.self.store_lease)) {
+            // The store renews the lease, but the response is lost.
+            store_leases_[controller.self.store_lease] = now_ + kStoreLeaseTtl;
         }
-        if (!keep_leases(i, reached)) return;
-        if (!reached || life.self.store_lease == 0 || !life.leadership_lease->alive(now_)) return;
-        write_epoch(life);
+        if (!keep_leases(i, store_reachable)) return;
+        if (!store_reachable || controller.self.store_lease == 0 || !controller.leadership_lease->alive(now_))
+            return;
+        write_epoch(controller);
     }
-    // False when the controller has to begin anew.
-    bool keep_leases(int i, bool reached) {
-        Life& life = lives_[i];
-        if (reached && life.self.store_lease == 0) return join(life);
-        if (reached) return renew(life);
-        if (life.leadership_lease->alive(now_)) request_votes(i);
+    // Returns false if the controller has to join again with a new store lease.
+    bool keep_leases(int i, bool store_reachable) {
+        Controller& controller = controllers_[i];
+        if (store_reachable && controller.self.store_lease == 0) return join(controller);
+        if (store_reachable) return renew(controller);
+        if (controller.leadership_lease->alive(now_)) request_votes(i);
         return true;
     }
-    bool join(Life& life) {
-        const std::uint64_t store_lease = ++next_grant_;
-        grants_[store_lease] = now_ + kLife;
-        const KeyPut put{life.self.label, store_lease, key_revision(life.self.label),
-                         now_ + Micros{*rc::gen::inRange(0, 4'000'000)}};
-        const int luck = *rc::gen::inRange(0, 4);
-        if (luck <= 1) late_puts_.push_back(put);
-        if (luck == 0) return false;  // no answer: it begins again with another store lease
-        if (apply(put)) {
-            life.self.store_lease = store_lease;
-            life.leadership_lease->renewed(now_, kLife);
+    bool join(Controller& controller) {
+        const std::uint64_t store_lease = ++last_store_lease_;
+        store_leases_[store_lease] = now_ + kStoreLeaseTtl;
+        const KeyWrite write{controller.self.label, store_lease, key_revision(controller.self.label),
+                             now_ + Micros{*rc::gen::inRange(0, 4'000'000)}};
+        const int outcome = *rc::gen::inRange(0, 4);
+        if (outcome <= 1) delayed_key_writes_.push_back(write);
+        if (outcome == 0) return false;  // no response: joins again with a new store lease
+        if (apply(write)) {
+            controller.self.store_lease = store_lease;
+            controller.leadership_lease->renewed(now_, kStoreLeaseTtl);
         }
         return true;
     }
-    bool renew(Life& life) {
-        const auto lease = grants_.find(life.self.store_lease);
-        if (lease == grants_.end()) {
-            life.self.store_lease = 0;
-            life.leadership_lease->lost();
+    bool renew(Controller& controller) {
+        const auto lease = store_leases_.find(controller.self.store_lease);
+        if (lease == store_leases_.end()) {
+            controller.self.store_lease = 0;
+            controller.leadership_lease->lost();
             return false;
         }
-        lease->second = now_ + kLife;
-        life.leadership_lease->renewed(now_, kLife);
+        lease->second = now_ + kStoreLeaseTtl;
+        controller.leadership_lease->renewed(now_, kStoreLeaseTtl);
         return true;
     }
     void request_votes(int i) {
         const Micros requested_at = now_;
         for (int k = 0; k < 3; ++k) {
-            if (k == i || cut_[i] || cut_[k] || !may_vote(lives_[k])) continue;
-            lives_[k].protected_members[lives_[i].self.label] = now_ + kPromise;
-            lives_[i].leadership_lease->record_vote(label(k), requested_at, kPromise, now_);
+            if (k == i || partitioned_[i] || partitioned_[k] || !may_vote(controllers_[k])) continue;
+            controllers_[k].protected_members[controllers_[i].self.label] = now_ + kVoteTtl;
+            controllers_[i].leadership_lease->record_vote(label(k), requested_at, kVoteTtl, now_);
         }
     }
-    bool may_vote(const Life& voter) const {
-        const bool unresolved = voter.unresolved && *voter.unresolved == epoch_.mod_revision;
-        return voter.self.store_lease != 0 && voter.failing.count() != 0 &&
-               now_ - voter.failing >= Micros{600'000} && !unresolved;
+    bool may_vote(const Controller& voter) const {
+        const bool uncertain_write = voter.uncertain_write && *voter.uncertain_write == epoch_.mod_revision;
+        return voter.self.store_lease != 0 && voter.unreachable_since.count() != 0 &&
+               now_ - voter.unreachable_since >= Micros{600'000} && !uncertain_write;
     }
-    void write_epoch(Life& life) {
+    void write_epoch(Controller& controller) {
         EpochInput input;
         input.current = epoch_;
-        input.member_records = nodes_;
-        input.self = life.self;
+        input.member_records = member_records_;
+        input.self = controller.self;
         input.teams = teams(3);
-        for (const auto& [who, until] : life.protected_members) {
-            if (until > now_) input.protected_members.insert(who);
+        for (const auto& [member_label, protected_until] : controller.protected_members) {
+            if (protected_until > now_) input.protected_members.insert(member_label);
         }
-        input.bound_by_earlier_votes = now_ - life.started < kPromise;
+        input.bound_by_earlier_votes = now_ - controller.started < kVoteTtl;
         input.wall_clock_now = now_;
         const auto plan = core::plan_epoch(input);
         if (!plan) return;
-        const Write write{*plan, epoch_.mod_revision, now_ + Micros{*rc::gen::inRange(0, 3'000'000)}};
+        const EpochWrite write{*plan, epoch_.mod_revision, now_ + Micros{*rc::gen::inRange(0, 3'000'000)}};
         if (*rc::gen::inRange(0, 3) != 0) {
             apply(write);
             return;
         }
-        late_.push_back(write);  // no answer: it may be carried out much later
-        life.unresolved = epoch_.mod_revision;
-        if (*rc::gen::arbitrary<bool>()) late_.push_back(write);
+        delayed_epoch_writes_.push_back(write);  // no response: the store may apply it much later
+        controller.uncertain_write = epoch_.mod_revision;
+        if (*rc::gen::arbitrary<bool>()) delayed_epoch_writes_.push_back(write);
     }
     void check() {
-        RC_ASSERT(epoch_.number >= last_token_);
-        last_token_ = epoch_.number;
+        RC_ASSERT(epoch_.number >= last_fencing_token_);
+        last_fencing_token_ = epoch_.number;
         if (epoch_.number == 0) return;
-        for (const auto& l : lives_) {
-            if (l.self.store_lease == 0 || !l.leadership_lease->alive(now_)) continue;
-            // The others may remove whoever's key is gone, so nobody acts without.
-            const auto key = nodes_.find(l.self.label);
-            RC_ASSERT(key != nodes_.end() && key->second.store_lease == l.self.store_lease);
-            const auto* m = epoch_.member(l.self.label);
-            const bool was_member = ever_.contains({l.self.label, l.self.store_lease});
-            const bool is_member = m != nullptr && *m == l.self;
-            // Alive, once a member and now removed: two controllers could act for the same teams.
+        for (const auto& controller : controllers_) {
+            if (controller.self.store_lease == 0 || !controller.leadership_lease->alive(now_)) continue;
+            // A controller with a valid leadership lease has a member key; otherwise the others could remove
+            // it.
+            const auto key = member_records_.find(controller.self.label);
+            RC_ASSERT(key != member_records_.end() && key->second.store_lease == controller.self.store_lease);
+            const auto* member = epoch_.member(controller.self.label);
+            const bool was_member =
+                members_so_far_.contains({controller.self.label, controller.self.store_lease});
+            const bool is_member = member != nullptr && *member == controller.self;
+            // If a removed member still held a valid lease, two controllers could act for the same teams.
             RC_ASSERT(!was_member || is_member);
-            if (is_member) ever_.insert({l.self.label, l.self.store_lease});
+            if (is_member) members_so_far_.insert({controller.self.label, controller.self.store_lease});
         }
-        if (epoch_.member(epoch_.leader) == nullptr) RC_FAIL("the leader is a member");
+        if (epoch_.member(epoch_.leader) == nullptr) RC_FAIL("the leader is not a member");
     }
 
     Micros now_{1'000'000};
-    std::array<Life, 3> lives_;
-    std::array<bool, 3> refused_{};
-    std::array<bool, 3> cut_{};
-    std::array<bool, 3> deaf_{};
-    bool down_ = false;
-    std::map<std::uint64_t, Micros> grants_;
-    std::map<std::string, core::MemberRecord> nodes_;
+    std::array<Controller, 3> controllers_;
+    std::array<bool, 3> refused_by_store_{};
+    std::array<bool, 3> partitioned_{};
+    std::array<bool, 3> responses_lost_{};
+    bool store_down_ = false;
+    std::map<std::uint64_t, Micros> store_leases_;
+    std::map<std::string, core::MemberRecord> member_records_;
     core::Epoch epoch_;
     core::Revision revision_ = 0;
-    std::uint64_t next_grant_ = 0;
-    std::uint64_t last_token_ = 0;
-    std::list<Write> late_;
-    std::list<KeyPut> late_puts_;
-    std::set<std::pair<std::string, std::uint64_t>> ever_;
+    std::uint64_t last_store_lease_ = 0;
+    std::uint64_t last_fencing_token_ = 0;
+    std::list<EpochWrite> delayed_epoch_writes_;
+    std::list<KeyWrite> delayed_key_writes_;
+    std::set<std::pair<std::string, std::uint64_t>> members_so_far_;
 };
 
 TEST(Membership, NoRemovedIncarnationKeepsItsLeadershipLeaseWhateverFails) {
     holds("crashes, instant restarts, cuts, refusals, outages, late writes", [] {
-        World w;
-        w.run(150);
+        MembershipSimulation simulation;
+        simulation.run(150);
     });
 }
 
 TEST(Membership, ALiveLeaderIsNotReplacedAndADeadOneIs) {
-    EpochInput in;
-    in.self = {"b", 2};
-    in.teams = teams(2);
-    in.current.number = 4;
-    in.current.leader = "a";
-    in.current.members = {{"a", 1}, {"b", 2}};
-    in.current.mod_revision = 9;
-    in.member_records = {{"a", {1, 5}}, {"b", {2, 6}}};
-    EXPECT_FALSE(core::plan_epoch(in).has_value());
-    in.member_records.erase("a");
-    const auto plan = core::plan_epoch(in);
+    EpochInput input;
+    input.self = {"b", 2};
+    input.teams = teams(2);
+    input.current.number = 4;
+    input.current.leader = "a";
+    input.current.members = {{"a", 1}, {"b", 2}};
+    input.current.mod_revision = 9;
+    input.member_records = {{"a", {1, 5}}, {"b", {2, 6}}};
+    EXPECT_FALSE(core::plan_epoch(input).has_value());
+    input.member_records.erase("a");
+    const auto plan = core::plan_epoch(input);
     ASSERT_TRUE(plan.has_value());
     EXPECT_EQ(plan->next.leader, "b");
     EXPECT_EQ(plan->next.number, 5U);
     EXPECT_EQ(plan->member_conditions, (std::vector<core::MemberCondition>{{"a", 0}, {"b", 6}}));
-    // The same label in a new incarnation: the old one is gone, so it counts as removed, and as a member
-    // anew.
-    in.member_records["a"] = {7, 8};
-    EXPECT_EQ(core::plan_epoch(in)->member_conditions.front(), (core::MemberCondition{"a", 8}));
-    in.protected_members.insert("a");
-    EXPECT_FALSE(core::plan_epoch(in).has_value()) << "a vote binds";
+    // A new run under the same label: its predecessor counts as removed, and the new run as a new member.
+    input.member_records["a"] = {7, 8};
+    EXPECT_EQ(core::plan_epoch(input)->member_conditions.front(), (core::MemberCondition{"a", 8}));
+    input.protected_members.insert("a");
+    EXPECT_FALSE(core::plan_epoch(input).has_value()) << "a vote binds";
 }
 
 TEST(Membership, AnUnhealthyLeaderHandsOver) {
-    EpochInput in;
-    in.self = {"a", 1};
-    in.teams = teams(2);
-    in.current.number = 4;
-    in.current.leader = "a";
-    in.current.members = {{"a", 1}, {"b", 2}};
-    in.member_records = {{"a", {1, 5}}, {"b", {2, 6}}};
-    in.current.shard_owners = {{"t0", "a"}, {"t1", "b"}};
-    EXPECT_FALSE(core::plan_epoch(in).has_value());
-    in.unhealthy = {"a"};
-    const auto plan = core::plan_epoch(in);
+    EpochInput input;
+    input.self = {"a", 1};
+    input.teams = teams(2);
+    input.current.number = 4;
+    input.current.leader = "a";
+    input.current.members = {{"a", 1}, {"b", 2}};
+    input.member_records = {{"a", {1, 5}}, {"b", {2, 6}}};
+    input.current.shard_owners = {{"t0", "a"}, {"t1", "b"}};
+    EXPECT_FALSE(core::plan_epoch(input).has_value());
+    input.unhealthy = {"a"};
+    const auto plan = core::plan_epoch(input);
     ASSERT_TRUE(plan.has_value());
     EXPECT_EQ(plan->next.leader, "b");
-    for (const auto& [t, o] : plan->next.shard_owners) EXPECT_EQ(o, "b");
+    for (const auto& [team, owner] : plan->next.shard_owners) EXPECT_EQ(owner, "b");
 }
 
 }  // namespace
--- a/tests/job_table_test.cpp
+++ b/tests/job_table_test.cpp
@@ -11,19 +11,21 @@
 
 TEST(RangeSet, AgreesWithASet) {
     holds("insertions in any order", [](const std::vector<std::uint8_t>& values) {
-        core::RangeSet r;
+        core::RangeSet range_set;
         std::set<std::uint32_t> model;
-        for (const auto v : values) RC_ASSERT(r.insert(v) == model.insert(v).second);
-        RC_ASSERT(r.size() == model.size());
-        for (std::uint32_t v = 0; v < 256; ++v) RC_ASSERT(r.contains(v) == model.contains(v));
-        for (auto it = r.ranges().begin(); it != r.ranges().end() && std::next(it) != r.ranges().end();
-             ++it) {
-            RC_ASSERT(it->second + 1 < std::next(it)->first);
+        for (const auto value : values) RC_ASSERT(range_set.insert(value) == model.insert(value).second);
+        RC_ASSERT(range_set.size() == model.size());
+        for (std::uint32_t value = 0; value < 256; ++value)
+            RC_ASSERT(range_set.contains(value) == model.contains(value));
+        for (auto range = range_set.ranges().begin();
+             range != range_set.ranges().end() && std::next(range) != range_set.ranges().end(); ++range) {
+            RC_ASSERT(range->second + 1 < std::next(range)->first);
         }
     });
 }
 
-// A page with the first attempts of a released job is read before the record of its release.
+// A page with the first attempts of a released job may be read before the record of the release. Guards
+// against usage that stays with kWaitingTeam instead of moving to the job's team.
 TEST(JobTable, AReleaseThatIsReadLateMovesTheUseToTheTeam) {
     core::JobTable job_table;
     core::Job job = test::job("req-1", core::kWaitingTeam, 4, 2);
@@ -45,14 +47,15 @@
     EXPECT_DOUBLE_EQ(job_table.team_use("x").cpus, 0);
 }
 
-// The parts of a long list and the record that names them come in any order.
+// The parts of a long dependency list and the job's record may arrive in any order. Guards against a partial
+// list that counts as known.
 TEST(JobTable, ALongListIsKnownOnceAllItsPartsAre) {
     holds("parts and record in any order", [] {
         core::Job job = test::job("req-1", core::kWaitingTeam, 1, 1);
         job.team_once_released = "x";
         job.dependency_list = "l";
         job.dependency_parts = static_cast<std::uint32_t>(*rc::gen::inRange(1, 5));
-        std::vector<std::uint32_t> order;  // the record is the last number
+        std::vector<std::uint32_t> order;  // part numbers; job.dependency_parts stands for the job's record
         for (std::uint32_t part = 0; part <= job.dependency_parts; ++part) order.push_back(part);
         for (std::size_t i = order.size(); i > 1; --i)
             std::swap(order[i - 1], order[*rc::gen::inRange<std::size_t>(0, i)]);
@@ -82,7 +85,7 @@
     core::Chunk chunk;
 };
 
-// Changes of the chunks of one job, in the order of their revisions; `store` holds what they lead to.
+// Draws changes of the chunks of one job, in the order of their revisions. `store` receives the final state.
 std::vector<ChunkChange> draw_changes(Chunks& store) {
     std::vector<ChunkChange> changes;
     const int count = *rc::gen::inRange(1, 20);
@@ -103,7 +106,7 @@
     return changes;
 }
 
-// Some of the changes arrive twice, and all of them in any order.
+// Returns the changes in random order, some of them duplicated.
 std::vector<ChunkChange> draw_arrivals(const std::vector<ChunkChange>& changes) {
     auto arrivals = changes;
     for (const auto& change : changes) {
@@ -114,7 +117,7 @@
     return arrivals;
 }
 
-// The job's attempts are listed on their machines, and nothing else is.
+// Checks that each machine lists exactly the open attempts of the job on that machine.
 void check_machines(const core::JobTable& job_table, const core::JobEntry& entry, const Chunks& store) {
     std::map<std::string, std::set<core::TaskRef>> expected;
     for (const auto& [number, chunk] : store) {
@@ -132,8 +135,8 @@
     }
 }
 
-// The store as a model: each change has its revision. The job table gets the changes late, twice and out of
-// order within a key, and must end where the store is.
+// Changes of a record may arrive late, duplicated or out of order. Guards against a job table that differs
+// from the store afterwards.
 TEST(JobTable, EndsWhereTheStoreIsWhateverOrderChangesArriveIn) {
     holds("reordered and repeated changes", [] {
         core::JobTable job_table;
@@ -165,72 +168,74 @@
 }
 
 TEST(JobTable, KeepsRecordsOfAnEndedJobAsOrphansUntilTheyAreDeleted) {
-    core::JobTable l;
-    l.put_job(test::job("req-1", "x", 200, 2), 1);
-    core::Chunk c;
-    c.mod_revision = 2;
-    l.put_chunk("req-1", 0, c);
-    c.mod_revision = 3;
-    l.put_chunk("req-1", 1, c);
-    l.erase_chunk("req-1", 0, 4);
-    l.erase_job("req-1", 4);
-    ASSERT_EQ(l.orphans().size(), 1U);
-    EXPECT_EQ(l.orphans().begin()->second.mod_revision, 3U);
-    l.erase_chunk("req-1", 1, 5);
-    EXPECT_TRUE(l.orphans().empty());
+    core::JobTable job_table;
+    job_table.put_job(test::job("req-1", "x", 200, 2), 1);
+    core::Chunk chunk;
+    chunk.mod_revision = 2;
+    job_table.put_chunk("req-1", 0, chunk);
+    chunk.mod_revision = 3;
+    job_table.put_chunk("req-1", 1, chunk);
+    job_table.erase_chunk("req-1", 0, 4);
+    job_table.erase_job("req-1", 4);
+    ASSERT_EQ(job_table.orphans().size(), 1U);
+    EXPECT_EQ(job_table.orphans().begin()->second.mod_revision, 3U);
+    job_table.erase_chunk("req-1", 1, 5);
+    EXPECT_TRUE(job_table.orphans().empty());
 }
 
-// The store is read in pieces while it changes: a page can be newer than the piece with the job's record.
+// The store is read in ranges while it changes, so a page can be newer than the record of its job that was
+// read. Guards against losing the attempts of a page that arrives before its job.
 TEST(JobTable, APageThatComesBeforeItsJobIsNotLost) {
-    core::JobTable l;
-    core::Chunk c;
-    c.open[3] = {1, "n-1", 1};
-    c.last_attempt = 1;
-    l.put_page({"x", 1}, 9, {{{"req-1", 0}, c}});
-    EXPECT_EQ(l.find("req-1"), nullptr);
-    l.put_job(test::job("req-1", "x", 8, 2), 5);
-    // The change that made the page comes again by the watch, and is no news.
-    l.put_page({"x", 1}, 9, {{{"req-1", 0}, c}});
-    ASSERT_NE(l.open_attempt("req-1", 3), nullptr);
-    EXPECT_EQ(l.find("req-1")->chunks.at(0).page, 1U);
-    EXPECT_EQ(l.on_machine("n-1").size(), 1U);
-    EXPECT_TRUE(l.orphans().empty());
-    // A page that does not have it any more.
-    l.put_page({"x", 1}, 10, {});
-    EXPECT_EQ(l.open_attempt("req-1", 3), nullptr);
-    EXPECT_NEAR(l.team_use("x").cpus, 0, 1e-9);
-    // A late copy of the older page.
-    l.put_page({"x", 1}, 9, {{{"req-1", 0}, c}});
-    EXPECT_EQ(l.open_attempt("req-1", 3), nullptr);
+    core::JobTable job_table;
+    core::Chunk chunk;
+    chunk.open[3] = {1, "n-1", 1};
+    chunk.last_attempt = 1;
+    job_table.put_page({"x", 1}, 9, {{{"req-1", 0}, chunk}});
+    EXPECT_EQ(job_table.find("req-1"), nullptr);
+    job_table.put_job(test::job("req-1", "x", 8, 2), 5);
+    // The watch delivers the same revision of the page again: no effect.
+    job_table.put_page({"x", 1}, 9, {{{"req-1", 0}, chunk}});
+    ASSERT_NE(job_table.open_attempt("req-1", 3), nullptr);
+    EXPECT_EQ(job_table.find("req-1")->chunks.at(0).page, 1U);
+    EXPECT_EQ(job_table.on_machine("n-1").size(), 1U);
+    EXPECT_TRUE(job_table.orphans().empty());
+    // A newer page without the chunk.
+    job_table.put_page({"x", 1}, 10, {});
+    EXPECT_EQ(job_table.open_attempt("req-1", 3), nullptr);
+    EXPECT_NEAR(job_table.team_use("x").cpus, 0, 1e-9);
+    // A late duplicate of the older page.
+    job_table.put_page({"x", 1}, 9, {{{"req-1", 0}, chunk}});
+    EXPECT_EQ(job_table.open_attempt("req-1", 3), nullptr);
 }
 
 TEST(JobTable, AJobOfAHundredThousandTasksTouchesOnlyWhatRan) {
-    core::JobTable l;
-    l.put_job(test::job("req-1", "x", 100'000, 1), 1);
-    EXPECT_TRUE(l.find("req-1")->chunks.empty());
-    EXPECT_EQ(core::unstarted_tasks(*l.find("req-1"), 50).size(), 50U);
+    core::JobTable job_table;
+    job_table.put_job(test::job("req-1", "x", 100'000, 1), 1);
+    EXPECT_TRUE(job_table.find("req-1")->chunks.empty());
+    EXPECT_EQ(core::unstarted_tasks(*job_table.find("req-1"), 50).size(), 50U);
 }
 
 TEST(ClusterView, NewestIncarnationAndSequenceWinAndReleasedMachinesStayGone) {
-    core::ClusterView p;
-    auto r = test::heartbeat("n-1", "small", "a");
-    r.heartbeat_sequence = 5;
-    EXPECT_TRUE(p.apply(r, core::Micros{1}, core::Micros{1}));
-    r.heartbeat_sequence = 4;
-    EXPECT_FALSE(p.apply(r, core::Micros{2}, core::Micros{2}));
-    r.incarnation = 2;
-    r.heartbeat_sequence = 1;
-    EXPECT_TRUE(p.apply(r, core::Micros{3}, core::Micros{3}));
+    core::ClusterView cluster_view;
+    auto heartbeat = test::heartbeat("n-1", "small", "a");
+    heartbeat.heartbeat_sequence = 5;
+    EXPECT_TRUE(cluster_view.apply(heartbeat, core::Micros{1}, core::Micros{1}));
+    heartbeat.heartbeat_sequence = 4;
+    EXPECT_FALSE(cluster_view.apply(heartbeat, core::Micros{2}, core::Micros{2}));
+    heartbeat.incarnation = 2;
+    heartbeat.heartbeat_sequence = 1;
+    EXPECT_TRUE(cluster_view.apply(heartbeat, core::Micros{3}, core::Micros{3}));
     const core::Attempt old{1, "n-1", 1};
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, old).status, core::AttemptStatus::gone);
+    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, old).status, core::AttemptStatus::gone);
     const core::Attempt current{2, "n-1", 2};
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, current).status, core::AttemptStatus::unlisted)
+    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, current).status, core::AttemptStatus::unlisted)
         << "a missing task proves nothing";
-    p.release("n-1", core::Micros{1});
-    r.heartbeat_sequence = 9;
-    EXPECT_FALSE(p.apply(r, core::Micros{4}, core::Micros{4}));
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, current).status, core::AttemptStatus::gone);
-    EXPECT_EQ(core::view_attempt(p, "req-1", 0, {1, "n-9", 1}).status, core::AttemptStatus::silent);
+    cluster_view.release("n-1", core::Micros{1});
+    heartbeat.heartbeat_sequence = 9;
+    EXPECT_FALSE(cluster_view.apply(heartbeat, core::Micros{4}, core::Micros{4}));
+    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, current).status, core::AttemptStatus::gone);
+    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, {1, "n-9", 1}).status,
+              core::AttemptStatus::silent);
 }
 
 }  // namespace
--- a/tests/pipeline_schedule_test.cpp
+++ b/tests/pipeline_schedule_test.cpp
@@ -1,4 +1,5 @@
-// What waiting jobs demand of the jobs before them, and what the planners make of it.
+// Demands that waiting jobs impose on their dependencies, and their effect on the queue, preemption,
+// placement and scaling.
 #include "core/pipeline_schedule.hpp"
 
 #include <algorithm>
@@ -39,7 +40,7 @@
     return PipelineSchedule::build(cluster.job_table, cluster.objectives, cluster.now);
 }
 
-// One machine, full with one task of this job.
+// Adds one machine that runs one task of the given job.
 void run_alone(Cluster& cluster, const Job& running, core::Revision mod_revision) {
     cluster.job_table.put_job(running, mod_revision);
     core::Chunk chunk;
@@ -65,7 +66,7 @@
     return sum;
 }
 
-// ---- The schedule against a plain model: every path is walked, one after the other.
+// ---- The schedule against a brute-force model that visits every path in the graph.
 
 class PlainModel {
   public:
@@ -81,7 +82,7 @@
         return highest;
     }
 
-    // Over all paths from the job to one with a deadline.
+    // Returns the earliest due time over all paths from the job to a job with a deadline.
     std::optional<Micros> due(const std::string& id) const {
         std::optional<Micros> earliest;
         walk_paths(id, Micros{0}, earliest);
@@ -137,7 +138,7 @@
         }
         return job.accepted + from_seconds(std::max(240.0, 2 * *job.deadline_s));
     }
-    // `after`: what the stages between the first job of the path and this one take, with this one.
+    // `after`: planned time of the stages after the first job of the path, up to and including this job.
     void walk_paths(const std::string& id, Micros after, std::optional<Micros>& earliest) const {
         const Job& job = job_table_.find(id)->job;
         if (job.deadline_s) {
@@ -157,13 +158,13 @@
 
 std::string random_job_id(int jobs) { return "req-" + std::to_string(100 + *rc::gen::inRange(0, jobs)); }
 
-// Small draws are the likeliest, so what should be rare is the largest.
+// Returns true in about one of `number` draws. Uses the largest value because RapidCheck prefers small ones.
 bool one_in(int number) { return *rc::gen::inRange(0, number) == number - 1; }
 
 core::JobTable draw_pipelines() {
     core::JobTable job_table;
     const int jobs = 8 - *rc::gen::inRange(0, 7);
-    // Some jobs name what was submitted after them: circles, which no user can make, must do no harm.
+    // Some jobs depend on jobs submitted later. Users cannot create such cycles, but they must be handled.
     const bool circles = one_in(4);
     for (int i = 0; i < jobs; ++i) {
         const std::string id = "req-" + std::to_string(100 + i);
@@ -186,7 +187,7 @@
             job_table.put_chunk(id, 0, chunk);
         }
     }
-    // What is over has left the job table.
+    // Jobs that have ended are not in the job table.
     if (one_in(3)) job_table.erase_job(random_job_id(jobs), 10);
     return job_table;
 }
@@ -253,7 +254,7 @@
     cluster.now = Micros{200'000'000};
     cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);
     auto last = waiting_job("req-2", Priority::high, {"req-1"});
-    last.deadline_s = 200;  // at 201 s; half of both estimates ends at 230 s
+    last.deadline_s = 200;  // at 201 s; the earliest finish, with half of both estimates, is at 230 s
     cluster.job_table.put_job(last, 1);
     const Micros stage = from_seconds(30 * 1.5 + 5);
     EXPECT_EQ(schedule_of(cluster).find("req-1")->due, Micros{401'000'000} - stage) << "late: twice as long";
@@ -267,7 +268,7 @@
     cluster.job_table.put_job(ordinary_job("req-2", Priority::best_effort), 1);
     cluster.job_table.put_job(waiting_job("req-3", Priority::high, {"req-1", "req-2"}), 1);
     EXPECT_EQ(schedule_of(cluster).find("req-1")->priority, Priority::high);
-    // The cascade has not reached the last job yet.
+    // The cancellation has not been propagated to the last job yet.
     cluster.job_table.put_cancel("req-2", 2, cluster.now);
     EXPECT_TRUE(schedule_of(cluster).demands().empty());
     EXPECT_TRUE(schedule_of(cluster).upcoming().empty());
@@ -286,7 +287,7 @@
         fan.put_job(ordinary_job(name(i), Priority::best_effort), 1);
         all.push_back(name(i));
     }
-    // As many wait for each of the fan's jobs as each job waits for.
+    // A fan: each of these jobs depends on all kJobs jobs.
     for (int i = 0; i < 20; ++i)
         fan.put_job(waiting_job("req-last-" + std::to_string(i), Priority::high, all), 1);
     const auto began = std::chrono::steady_clock::now();
@@ -297,7 +298,7 @@
     EXPECT_EQ(along_chain.find(name(0))->priority, Priority::high);
     EXPECT_EQ(along_fan.demands().size(), static_cast<std::size_t>(kJobs));
     EXPECT_EQ(along_fan.find(name(7))->priority, Priority::high);
-    // Quadratic work would be 400 million steps of each.
+    // Quadratic time would take 400 million steps for each graph.
     EXPECT_LT(took, std::chrono::seconds(15));
 }
 
@@ -305,7 +306,7 @@
 
 TEST(PipelineQueue, AChainWithADeadlineGoesBeforeOtherBestEffortWork) {
     Cluster cluster;
-    cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);  // the older one
+    cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);  // the older job
     auto first = ordinary_job("req-2", Priority::best_effort);
     first.accepted = Micros{90'000'000};
     cluster.job_table.put_job(first, 1);
@@ -325,14 +326,15 @@
     cluster.job_table.put_job(waiting_job("req-3", Priority::best_effort, {"req-2"}), 1);
     auto schedule = schedule_of(cluster);
     EXPECT_EQ(queue_of(cluster, &schedule), (std::vector<std::string>{"req-1", "req-2"}));
-    // The last job is submitted now: the need begins with it.
+    // The demand begins when the last job of the pipeline is submitted.
     cluster.job_table.put_job(waiting_job("req-4", Priority::high, {"req-3"}), 1);
     schedule = schedule_of(cluster);
     EXPECT_EQ(queue_of(cluster, &schedule), (std::vector<std::string>{"req-2", "req-1"}));
 }
 
-// The wide stage in the middle has a wish for its wait from its release, the last job a deadline: whichever
-// is earlier counts, and the plan's margin alone raises no priority.
+// A wide stage has its own wait objective, counted from its release, and the last job of the pipeline has a
+// deadline. The earlier of the two due times counts. A due time in the past alone does not raise the
+// priority.
 TEST(PipelineQueue, TheEarlierDueTimeOfJobAndPipelineCounts) {
     Cluster cluster;
     cluster.objectives = {{"wait", "wide", 40, 0.96, 1}};
@@ -352,7 +354,7 @@
     schedule = schedule_of(cluster);
     const Micros planned = cluster.now + from_seconds(80 - 50);
     EXPECT_EQ(core::due_time(wide, cluster.objectives, cluster.now, &schedule), planned);
-    // Past the plan, and the deadline can still be met: normal work goes first all the same.
+    // The planned due time has passed but the deadline can still be met: normal work still goes first.
     cluster.now += from_seconds(40);
     cluster.job_table.put_job(ordinary_job("req-3", Priority::normal), 1);
     schedule = schedule_of(cluster);
@@ -394,7 +396,7 @@
         queue(running);
         EXPECT_TRUE(place().stops.empty()) << "own against own";
     }
-    // Both inherit the same.
+    // Both jobs inherit the same priority.
     cluster.job_table.clear();
     run(Priority::best_effort);
     queue(Priority::best_effort);
@@ -409,7 +411,7 @@
     EXPECT_EQ(place().stops.size(), 1U);
     cluster.job_table.put_job(waiting_job("req-3", Priority::high, {"req-1"}), 4);
     EXPECT_TRUE(place().stops.empty());
-    // From the moment when nobody needs it any more it is what it was.
+    // Without a dependent the job loses its inherited priority.
     cluster.job_table.put_cancel("req-3", 5, cluster.now);
     EXPECT_EQ(place().stops.size(), 1U);
 }
@@ -432,12 +434,13 @@
     EXPECT_EQ(place().stops.size(), 1U) << "half of what its class may wait is over";
 }
 
-// No pair of jobs may ever stop each other in turn, whatever is inherited; and nothing is stopped by what is
-// not above it, but for guarantees.
+// Guards against two jobs that preempt each other alternately: a job may be stopped only for a job of higher
+// effective priority, or to satisfy a team's guarantee.
 TEST(PipelinePreemption, GoesDownwardsOnAnyCluster) {
     holds("stops", [] {
         Cluster cluster = test::draw_cluster();
-        // Nothing is overdue: what must begin may find its place elsewhere later in the same pass.
+        // No job is overdue, because capacity for overdue jobs may be found on another machine later in the
+        // same pass.
         core::Revision mod_revision = 1000;
         for (const auto& [id, entry] : core::JobTable::Jobs{cluster.job_table.jobs()}) {
             Job job = entry.job;
@@ -455,7 +458,7 @@
         const auto schedule = schedule_of(cluster);
         core::FreeCapacity capacity = cluster.free_capacity();
         const auto result = core::place(test::placement_input(cluster, &schedule), capacity);
-        // Guarantees count what the pass itself starts, and what it clears capacity for.
+        // Guarantees include the tasks that the pass starts and the capacity that it reserves.
         std::map<std::string, core::Resources> use;
         for (const auto& [name, team] : cluster.teams) use[name] = cluster.job_table.team_use(name);
         for (const auto& start : result.starts) {
@@ -480,13 +483,13 @@
     });
 }
 
-// ---- Waiting jobs count nowhere.
+// ---- Waiting jobs have no effect on placement and scaling.
 
 TEST(WaitingJobs, CountNowhereInAPlacementPass) {
     holds("the same pass with and without", [] {
         Cluster with = test::draw_cluster();
         Cluster without = with;
-        // They depend on what is over, so they demand nothing either.
+        // They depend on a job that has ended, so they impose no demands.
         for (int i = 0; i < 3; ++i) {
             auto job = waiting_job("req-w" + std::to_string(i), Priority::production, {"req-gone"});
             job.tasks = 50;
@@ -518,7 +521,8 @@
     Job other = ordinary_job("req-1", Priority::best_effort, 1, 4);
     other.team = "y";
     run_alone(cluster, other, 1);
-    auto waiting = waiting_job("req-2", Priority::best_effort, {"req-1"});  // older, and of the same team
+    auto waiting =
+        waiting_job("req-2", Priority::best_effort, {"req-1"});  // older, and of the same team as req-3
     waiting.tasks = 4;
     cluster.job_table.put_job(waiting, 3);
     Job queued = ordinary_job("req-3", Priority::best_effort, 1, 4);
@@ -555,11 +559,12 @@
 TEST(PipelineScaleOut, ScalesOutAheadOnlyWhenConfigured) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 1000, 1000, 0, 0};
-    run_alone(cluster, ordinary_job("req-1", Priority::best_effort, 1, 4), 1);  // 15 s are left of it
+    run_alone(cluster, ordinary_job("req-1", Priority::best_effort, 1, 4),
+              1);  // 15 s of its estimate are left
     auto wide = waiting_job("req-2", Priority::best_effort, {"req-1"});
     wide.tasks = 100;
     cluster.job_table.put_job(wide, 3);
-    // The needs of this one are not known yet.
+    // A job whose dependencies are not known yet.
     cluster.job_table.put_job(waiting_job("req-3", Priority::best_effort, {}), 3);
     const auto schedule = schedule_of(cluster);
     ASSERT_EQ(schedule.upcoming().size(), 1U);
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -1,4 +1,5 @@
-// Stale heartbeats, one-way partitions, instant restarts and long overload, without input or output.
+// Safety properties without input or output: stale heartbeats, released machines, keep-alives between
+// controllers, rate limits and sustained overload.
 #include <sstream>
 
 #include "store/token_bucket.hpp"
@@ -10,78 +11,83 @@
 using core::Micros;
 using test::holds;
 
-constexpr Micros kDoubt{26'000'000};
+constexpr Micros kStaleHeartbeatThreshold{26'000'000};
 
-// One machine's true history: its heartbeats in order.
+// Draws the heartbeats that one machine sends, in order.
 std::vector<core::WorkerHeartbeat> draw_history(const std::string& machine) {
-    std::vector<core::WorkerHeartbeat> out;
-    auto r = test::heartbeat(machine, "small", "a");
+    std::vector<core::WorkerHeartbeat> history;
+    auto next_heartbeat = test::heartbeat(machine, "small", "a");
     std::uint64_t attempt = 0;
-    const int n = *rc::gen::inRange(2, 25);
-    for (int i = 0; i < n; ++i) {
-        ++r.heartbeat_sequence;
+    const int count = *rc::gen::inRange(2, 25);
+    for (int i = 0; i < count; ++i) {
+        ++next_heartbeat.heartbeat_sequence;
         switch (*rc::gen::inRange(0, 6)) {
             case 0:
-                r.tasks.push_back(
+                next_heartbeat.tasks.push_back(
                     test::task_status("req-" + std::to_string(*rc::gen::inRange(0, 3)), 0, ++attempt));
                 break;
             case 1:
-                if (!r.tasks.empty()) r.tasks.back().state = core::TaskState::exited;
+                if (!next_heartbeat.tasks.empty())
+                    next_heartbeat.tasks.back().state = core::TaskState::exited;
                 break;
             case 2:
-                if (!r.tasks.empty()) r.tasks.erase(r.tasks.begin());
+                if (!next_heartbeat.tasks.empty()) next_heartbeat.tasks.erase(next_heartbeat.tasks.begin());
                 break;
             case 3:
-                ++r.incarnation;
-                r.tasks.clear();
+                ++next_heartbeat.incarnation;
+                next_heartbeat.tasks.clear();
                 break;
             case 4:
-                ++r.fencing_token;
+                ++next_heartbeat.fencing_token;
                 break;
             default:
                 break;
         }
-        out.push_back(r);
+        history.push_back(next_heartbeat);
     }
-    return out;
+    return history;
 }
 
-bool same_tasks(const core::WorkerHeartbeat& a, const core::WorkerHeartbeat& b) {
-    return a.incarnation == b.incarnation && a.tasks == b.tasks;
+bool same_tasks(const core::WorkerHeartbeat& left, const core::WorkerHeartbeat& right) {
+    return left.incarnation == right.incarnation && left.tasks == right.tasks;
 }
 
-// Duplicates of heartbeats come late, from seconds to well over a lease, and more than once.
+// Heartbeats arrive late, by seconds to much more than a lease, and duplicated. Guards against a stale
+// heartbeat that replaces a newer one or makes a machine count as confirmed.
 TEST(StaleHeartbeats, ChangeNothingThatANewerOneSaid) {
     holds("copies in any order", [] {
         const auto history = draw_history("n-1");
-        core::ClusterView p;
+        core::ClusterView cluster_view;
         std::size_t newest = 0;
         Micros now{1'000'000};
-        Micros changed{};
-        std::set<std::pair<std::string, std::uint64_t>> gone;
+        Micros applied_at{};
+        std::set<std::pair<std::string, std::uint64_t>> lost_attempts;
         const int steps = *rc::gen::inRange(1, 60);
-        for (int s = 0; s < steps; ++s) {
+        for (int step = 0; step < steps; ++step) {
             now += Micros{*rc::gen::inRange(1, 90) * 1'000'000};
-            const auto i = *rc::gen::inRange<std::size_t>(0, history.size());
-            const bool news = p.apply(history[i], now, Micros{0}, false, kDoubt);
-            RC_ASSERT(news == (s == 0 || i > newest));
-            if (news) {
-                newest = i;
-                changed = now;
+            const auto position = *rc::gen::inRange<std::size_t>(0, history.size());
+            const bool applied =
+                cluster_view.apply(history[position], now, Micros{0}, false, kStaleHeartbeatThreshold);
+            RC_ASSERT(applied == (step == 0 || position > newest));
+            if (applied) {
+                newest = position;
+                applied_at = now;
             }
-            const auto* m = p.find("n-1");
-            RC_ASSERT(m != nullptr && same_tasks(m->last_heartbeat, history[newest]));
-            RC_ASSERT(m->last_heartbeat_at == changed);  // a duplicate proves nothing
-            RC_ASSERT(!m->confirmed);                    // and however many come, they prove none
-            for (const auto& r : history) {
-                for (const auto& t : r.tasks) {
-                    const auto v = core::view_attempt(p, t.job, t.task, {t.attempt, "n-1", r.incarnation});
-                    const auto key = std::pair{t.job, t.attempt};
-                    if (v.status == core::AttemptStatus::gone) gone.insert(key);
-                    RC_ASSERT(!gone.contains(key) || v.status == core::AttemptStatus::gone);
-                    const auto* listed = m->task(t.job, t.task);
-                    RC_ASSERT(v.status != core::AttemptStatus::live ||
-                              (listed != nullptr && listed->attempt == t.attempt));
+            const auto* machine = cluster_view.find("n-1");
+            RC_ASSERT(machine != nullptr && same_tasks(machine->last_heartbeat, history[newest]));
+            RC_ASSERT(machine->last_heartbeat_at == applied_at);  // duplicates are ignored
+            RC_ASSERT(!machine->confirmed);  // without an answer no heartbeat confirms the machine
+            for (const auto& heartbeat : history) {
+                for (const auto& task_status : heartbeat.tasks) {
+                    const auto attempt =
+                        core::view_attempt(cluster_view, task_status.job, task_status.task,
+                                           {task_status.attempt, "n-1", heartbeat.incarnation});
+                    const auto key = std::pair{task_status.job, task_status.attempt};
+                    if (attempt.status == core::AttemptStatus::gone) lost_attempts.insert(key);
+                    RC_ASSERT(!lost_attempts.contains(key) || attempt.status == core::AttemptStatus::gone);
+                    const auto* listed = machine->task(task_status.job, task_status.task);
+                    RC_ASSERT(attempt.status != core::AttemptStatus::live ||
+                              (listed != nullptr && listed->attempt == task_status.attempt));
                 }
             }
         }
@@ -89,51 +95,55 @@
 }
 
 TEST(StaleHeartbeats, AMachineTakesTasksOnlyOnceItHasAnswered) {
-    test::Cluster c;
-    c.teams["x"] = {"x", 8, 24, 0, 0};
-    c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
-    core::PlacementInput in = test::placement_input(c);
+    test::Cluster cluster;
+    cluster.teams["x"] = {"x", 8, 24, 0, 0};
+    cluster.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
+    core::PlacementInput input = test::placement_input(cluster);
     const auto starts = [&] {
-        core::FreeCapacity capacity = c.free_capacity();
-        return core::place(in, capacity).starts.size();
+        core::FreeCapacity capacity = cluster.free_capacity();
+        return core::place(input, capacity).starts.size();
     };
-    // Nobody here knows this machine: its heartbeat may be a minute old, and the machine gone.
-    c.cluster_view.apply(test::heartbeat("n-1", "small", "a"), c.now, c.now, false, kDoubt);
+    // The machine is unknown, so its first heartbeat may be a late duplicate from a machine that no longer
+    // exists.
+    cluster.cluster_view.apply(test::heartbeat("n-1", "small", "a"), cluster.now, cluster.now, false,
+                               kStaleHeartbeatThreshold);
     EXPECT_EQ(starts(), 0U);
-    auto copy = test::heartbeat("n-1", "small", "a");
-    copy.heartbeat_sequence = 7;
-    c.cluster_view.apply(copy, c.now, c.now, false, kDoubt);
+    auto heartbeat = test::heartbeat("n-1", "small", "a");
+    heartbeat.heartbeat_sequence = 7;
+    cluster.cluster_view.apply(heartbeat, cluster.now, cluster.now, false, kStaleHeartbeatThreshold);
     EXPECT_EQ(starts(), 0U) << "two duplicates prove no more than one";
-    auto answer = copy;
+    auto answer = heartbeat;
     answer.heartbeat_sequence = 9;
-    c.cluster_view.apply(answer, c.now, c.now, true, kDoubt);
+    cluster.cluster_view.apply(answer, cluster.now, cluster.now, true, kStaleHeartbeatThreshold);
     EXPECT_EQ(starts(), 1U);
-    // Heard again after a long silence: it may be the last word of a machine that died then.
-    c.now += kDoubt * 2;
-    in.now = in.wall_clock_now = c.now;
-    copy.heartbeat_sequence = 11;
-    c.cluster_view.apply(copy, c.now, c.now, false, kDoubt);
+    // A heartbeat after a long gap may be a late duplicate from a machine that has failed since.
+    cluster.now += kStaleHeartbeatThreshold * 2;
+    input.now = input.wall_clock_now = cluster.now;
+    heartbeat.heartbeat_sequence = 11;
+    cluster.cluster_view.apply(heartbeat, cluster.now, cluster.now, false, kStaleHeartbeatThreshold);
     EXPECT_EQ(starts(), 0U);
-    c.cluster_view.confirm("n-1");
+    cluster.cluster_view.confirm("n-1");
     EXPECT_EQ(starts(), 1U);
 }
 
 TEST(StaleHeartbeats, MemoryOfReleasedMachinesIsBoundedAndWhatIsForgottenIsNotUsed) {
-    core::ClusterView p;
+    core::ClusterView cluster_view;
     const auto name = [](int i) { return "n-" + std::to_string(100000 + i); };
-    const int most = static_cast<int>(core::ReleasedMachines::kMaxEntries);
-    for (int i = 0; i <= most; ++i) p.release(name(i), Micros{1});
-    EXPECT_TRUE(p.released(name(most)));
-    EXPECT_TRUE(p.released(name(1)));
-    EXPECT_FALSE(p.released(name(0))) << "kept for ever";
-    EXPECT_FALSE(p.apply(test::heartbeat(name(most), "small", "a"), Micros{1}, Micros{1}, false, kDoubt));
-    EXPECT_EQ(p.find(name(most)), nullptr);
-    ASSERT_TRUE(p.apply(test::heartbeat(name(0), "small", "a"), Micros{1}, Micros{1}, false, kDoubt));
-    EXPECT_FALSE(p.find(name(0))->confirmed);
+    const int max_entries = static_cast<int>(core::ReleasedMachines::kMaxEntries);
+    for (int i = 0; i <= max_entries; ++i) cluster_view.release(name(i), Micros{1});
+    EXPECT_TRUE(cluster_view.released(name(max_entries)));
+    EXPECT_TRUE(cluster_view.released(name(1)));
+    EXPECT_FALSE(cluster_view.released(name(0))) << "kept for ever";
+    EXPECT_FALSE(cluster_view.apply(test::heartbeat(name(max_entries), "small", "a"), Micros{1}, Micros{1},
+                                    false, kStaleHeartbeatThreshold));
+    EXPECT_EQ(cluster_view.find(name(max_entries)), nullptr);
+    ASSERT_TRUE(cluster_view.apply(test::heartbeat(name(0), "small", "a"), Micros{1}, Micros{1}, false,
+                                   kStaleHeartbeatThreshold));
+    EXPECT_FALSE(cluster_view.find(name(0))->confirmed);
 }
 
-// A fleet of 4,000 machines that is replaced several times over within minutes: late heartbeats of all of
-// them may still be under way.
+// A fleet of 4,000 machines is replaced five times within minutes, and late heartbeats of all of them may
+// still arrive. Guards against a list that drops ids before the retention period is over.
 TEST(ReleasedMachines, AreKeptByTimeAndNotByNumber) {
     constexpr int kFleet = 4'000;
     constexpr int kFleets = 5;
@@ -150,83 +160,86 @@
 TEST(ReleasedMachines, ArePassedOnPieceByPieceAndOnce) {
     holds("pieces", [] {
         core::ReleasedMachines released;
-        std::vector<std::string> told;
+        std::vector<std::string> reported;
         std::uint64_t position = 0;
         int added = 0;
         const int steps = *rc::gen::inRange(1, 30);
         for (int step = 0; step < steps; ++step) {
             for (int more = *rc::gen::inRange(0, 20); more > 0; --more)
                 released.add("n-" + std::to_string(added++), Micros{step});
-            const auto news = released.since(position, *rc::gen::inRange<std::size_t>(0, 15));
-            told.insert(told.end(), news.machines.begin(), news.machines.end());
-            position = news.position;
+            const auto update = released.since(position, *rc::gen::inRange<std::size_t>(0, 15));
+            reported.insert(reported.end(), update.machines.begin(), update.machines.end());
+            position = update.position;
         }
         const auto rest = released.since(position, core::ReleasedMachines::kMaxEntries);
-        told.insert(told.end(), rest.machines.begin(), rest.machines.end());
-        RC_ASSERT(static_cast<int>(told.size()) == added);
+        reported.insert(reported.end(), rest.machines.begin(), rest.machines.end());
+        RC_ASSERT(static_cast<int>(reported.size()) == added);
         for (int i = 0; i < added; ++i)
-            RC_ASSERT(told[static_cast<std::size_t>(i)] == "n-" + std::to_string(i));
+            RC_ASSERT(reported[static_cast<std::size_t>(i)] == "n-" + std::to_string(i));
     });
 }
 
-// Another controller receives whole heartbeats and keep-alives; some are lost, some come again. Whatever it
-// believes of a machine's tasks at a heartbeat sequence must be what they were then.
+// A controller receives full heartbeats and keep-alives from a peer; some are lost, some duplicated. Guards
+// against a keep-alive that advances the heartbeat sequence past a task change that the controller has not
+// received.
 TEST(PeerMesh, KeepAlivesNeverHideAMissedChange) {
     holds("lossy stream of whole and short reports", [] {
         const auto history = draw_history("n-1");
         core::ClusterView source;
-        core::ClusterView mirror;
+        core::ClusterView replica;
         Micros now{1'000'000};
-        std::map<std::pair<std::uint64_t, std::uint64_t>, core::WorkerHeartbeat> truth;
-        for (const auto& r : history) {
+        std::map<std::pair<std::uint64_t, std::uint64_t>, core::WorkerHeartbeat> sent_heartbeats;
+        for (const auto& heartbeat : history) {
             now += Micros{1'000'000};
-            truth[{r.incarnation, r.heartbeat_sequence}] = r;
-            source.apply(r, now, now);
-            const auto& m = *source.find("n-1");
-            const bool whole = m.content_sequence == r.heartbeat_sequence;
+            sent_heartbeats[{heartbeat.incarnation, heartbeat.heartbeat_sequence}] = heartbeat;
+            source.apply(heartbeat, now, now);
+            const auto& source_machine = *source.find("n-1");
+            const bool full_heartbeat = source_machine.content_sequence == heartbeat.heartbeat_sequence;
             const int copies = *rc::gen::inRange(0, 3);
-            for (int k = 0; k < copies; ++k) {
-                if (whole) {
-                    mirror.apply(m.last_heartbeat, now, now);
+            for (int copy = 0; copy < copies; ++copy) {
+                if (full_heartbeat) {
+                    replica.apply(source_machine.last_heartbeat, now, now);
                 } else {
-                    mirror.apply_keep_alive("n-1", r.incarnation, r.heartbeat_sequence, r.fencing_token,
-                                            m.content_sequence, now, now);
+                    replica.apply_keep_alive("n-1", heartbeat.incarnation, heartbeat.heartbeat_sequence,
+                                             heartbeat.fencing_token, source_machine.content_sequence, now,
+                                             now);
                 }
             }
-            if (const auto* seen = mirror.find("n-1")) {
-                const auto& then =
-                    truth.at({seen->last_heartbeat.incarnation, seen->last_heartbeat.heartbeat_sequence});
-                RC_ASSERT(same_tasks(seen->last_heartbeat, then));
+            if (const auto* replicated = replica.find("n-1")) {
+                const auto& expected = sent_heartbeats.at(
+                    {replicated->last_heartbeat.incarnation, replicated->last_heartbeat.heartbeat_sequence});
+                RC_ASSERT(same_tasks(replicated->last_heartbeat, expected));
             }
         }
     });
 }
 
-// Later requests wait longer, however many there are; and the limit holds.
+// Guards against requests that overtake earlier ones, and against bursts above the limit.
 TEST(TokenBucket, KeepsItsOrderAndItsRate) {
     holds("arrivals at any times", [] {
-        controller::TokenBucket b{10, 5};
+        controller::TokenBucket bucket{10, 5};
         Micros now{1'000'000};
-        std::vector<Micros> turns;
-        const int n = *rc::gen::inRange(1, 80);
-        for (int i = 0; i < n; ++i) {
+        std::vector<Micros> grant_times;
+        const int count = *rc::gen::inRange(1, 80);
+        for (int i = 0; i < count; ++i) {
             now += Micros{*rc::gen::inRange(0, 200'000)};
-            const Micros wait = b.wait(1, now);
-            b.spend(1, now);
-            turns.push_back(now + wait);
+            const Micros wait = bucket.wait(1, now);
+            bucket.spend(1, now);
+            grant_times.push_back(now + wait);
         }
-        RC_ASSERT(std::is_sorted(turns.begin(), turns.end()));
-        for (std::size_t i = 0; i < turns.size(); ++i) {
-            for (std::size_t k = i + 1; k < turns.size(); ++k) {
-                const double span = static_cast<double>((turns[k] - turns[i]).count()) / 1e6;
-                RC_ASSERT(static_cast<double>(k - i) <= 10 * span + 5 + 1e-3);
+        RC_ASSERT(std::is_sorted(grant_times.begin(), grant_times.end()));
+        for (std::size_t i = 0; i < grant_times.size(); ++i) {
+            for (std::size_t k = i + 1; k < grant_times.size(); ++k) {
+                const double span_s = static_cast<double>((grant_times[k] - grant_times[i]).count()) / 1e6;
+                RC_ASSERT(static_cast<double>(k - i) <= 10 * span_s + 5 + 1e-3);
             }
         }
     });
 }
 
-// Four machines of 28 CPUs in all, to which about twice as much is submitted as they can do: production,
-// small urgent tasks, wide ones, gangs, and jobs that have missed their objective.
+// Four machines with 28 CPUs in total, to which about twice as much work is submitted as they can run: jobs
+// of different priorities, small tasks, tasks as large as a machine, gangs, and jobs that have missed their
+// objective.
 class OverloadedCluster {
   public:
     OverloadedCluster() {
@@ -239,7 +252,7 @@
         }
     }
 
-    // One second, in which a job may be submitted.
+    // Simulates one second. Submits a job if `submits` is true.
     void step(bool submits) {
         cluster_.now += Micros{1'000'000};
         if (submits) submit(draw_job());
@@ -252,7 +265,7 @@
     }
 
   private:
-    // Four minutes, and what the longest of the tasks then running takes.
+    // Maximum wait of a job before its first task starts: four minutes.
     static constexpr Micros kBound{240'000'000};
 
     core::Job draw_job() {
@@ -262,7 +275,7 @@
         job.accepted = cluster_.now;
         job.estimate_s = 10;
         job.priority = static_cast<core::Priority>(*rc::gen::inRange(0, 3));
-        if (kind == 0) {  // as wide as the largest machine
+        if (kind == 0) {  // as large as the largest machine
             job.resources = {16, 0, 16};
             job.priority = core::Priority::best_effort;
         } else if (kind == 1) {
@@ -315,7 +328,7 @@
             accepted_.erase(start.job);
         }
     }
-    // The first chunk of the job, as it will be committed.
+    // Returns the job's first chunk with the changes that the next commit() writes.
     core::Chunk& changed_chunk(const std::string& job) {
         const auto& recorded = cluster_.job_table.find(job)->chunks;
         const auto it = recorded.find(0);
@@ -349,14 +362,14 @@
     test::Cluster cluster_;
     std::map<std::string, core::WorkerHeartbeat> heartbeats_;
     std::map<core::TaskRef, Micros> ends_at_;
-    std::map<std::string, Micros> accepted_;  // jobs that have not begun
+    std::map<std::string, Micros> accepted_;  // acceptance time of each job without a started task
     std::map<core::TaskRef, core::Reservation> reservations_;
     std::map<std::string, core::Chunk> changed_;
     core::Revision revision_ = 0;
     int jobs_ = 0;
 };
 
-// Each job begins within a bound, for as long as the overload lasts and after it.
+// Guards against starvation: every job has to start within four minutes, during the overload and after it.
 TEST(Queue, UnderLastingOverloadEveryJobBeginsWithinABound) {
     holds("begins within four minutes", [] {
         OverloadedCluster cluster;
