--- a/tests/pipeline_schedule_test.cpp
+++ b/tests/pipeline_schedule_test.cpp
@@ -68,24 +68,24 @@
 
 // ---- The schedule against a brute-force model that visits every path in the graph.
 
-class PlainModel {
+class BruteForceModel {
   public:
-    PlainModel(const core::JobTable& job_table, const std::vector<core::Objective>& objectives,
-               Micros wall_clock_now)
-        : job_table_(job_table), objectives_(objectives), wall_(wall_clock_now) {}
+    BruteForceModel(const core::JobTable& job_table, const std::vector<core::Objective>& objectives,
+                    Micros wall_clock_now)
+        : job_table_(job_table), objectives_(objectives), wall_clock_now_(wall_clock_now) {}
 
-    bool needed(const std::string& id) const { return !needed_by(id).empty(); }
+    bool has_dependents(const std::string& id) const { return !dependents_of(id).empty(); }
 
     Priority priority(const std::string& id) const {
         Priority highest = job_table_.find(id)->job.priority;
-        for (const auto& later : needed_by(id)) highest = std::max(highest, priority(later));
+        for (const auto& dependent : dependents_of(id)) highest = std::max(highest, priority(dependent));
         return highest;
     }
 
     // Returns the earliest due time over all paths from the job to a job with a deadline.
     std::optional<Micros> due(const std::string& id) const {
         std::optional<Micros> earliest;
-        walk_paths(id, Micros{0}, earliest);
+        visit_paths(id, Micros{0}, earliest);
         return earliest;
     }
 
@@ -96,7 +96,7 @@
         const auto* entry = job_table_.find(id);
         return entry != nullptr && (entry->job.cancelled || !entry->finished());
     }
-    std::vector<std::string> needs(const std::string& id) const {
+    std::vector<std::string> unfinished_dependencies(const std::string& id) const {
         std::vector<std::string> found;
         const Job& job = job_table_.find(id)->job;
         if (!job.waiting()) return found;
@@ -105,55 +105,56 @@
         }
         return found;
     }
-    std::set<std::string> needed_by(const std::string& id) const {
+    std::set<std::string> dependents_of(const std::string& id) const {
         std::set<std::string> found;
-        for (const auto& [later, entry] : job_table_.jobs()) {
-            const auto before = needs(later);
-            if (can_run(later) && std::find(before.begin(), before.end(), id) != before.end())
-                found.insert(later);
+        for (const auto& [dependent, entry] : job_table_.jobs()) {
+            const auto before = unfinished_dependencies(dependent);
+            if (can_run(dependent) && std::find(before.begin(), before.end(), id) != before.end())
+                found.insert(dependent);
         }
         return found;
     }
     bool can_run(const std::string& id, std::set<std::string> on_path) const {
         if (!on_path.insert(id).second || job_table_.find(id)->job.cancelled) return false;
-        const auto before = needs(id);
+        const auto before = unfinished_dependencies(id);
         return std::all_of(before.begin(), before.end(),
-                           [&](const std::string& resources) { return can_run(resources, on_path); });
+                           [&](const std::string& dependency) { return can_run(dependency, on_path); });
     }
-    Micros soonest_done(const std::string& id) const {
-        Micros start = wall_;
-        for (const auto& before : needs(id)) start = std::max(start, soonest_done(before));
+    Micros earliest_finish(const std::string& id) const {
+        Micros start = wall_clock_now_;
+        for (const auto& before : unfinished_dependencies(id))
+            start = std::max(start, earliest_finish(before));
         return start + from_seconds(job_table_.find(id)->job.estimate_s * 0.5);
     }
     Micros own_due(const Job& job) const {
-        std::vector<double> wishes{*job.deadline_s};
+        std::vector<double> candidates_s{*job.deadline_s};
         for (const auto& objective : objectives_) {
             if (objective.kind == "deadline" && objective.job_class == job.job_class)
-                wishes.push_back(*job.deadline_s * objective.times);
+                candidates_s.push_back(*job.deadline_s * objective.times);
         }
-        std::sort(wishes.begin(), wishes.end());
-        for (const double wish : wishes) {
-            if (job.accepted + from_seconds(wish) >= soonest_done(job.id))
-                return job.accepted + from_seconds(wish);
+        std::sort(candidates_s.begin(), candidates_s.end());
+        for (const double candidate_s : candidates_s) {
+            if (job.accepted + from_seconds(candidate_s) >= earliest_finish(job.id))
+                return job.accepted + from_seconds(candidate_s);
         }
         return job.accepted + from_seconds(std::max(240.0, 2 * *job.deadline_s));
     }
     // `after`: planned time of the stages after the first job of the path, up to and including this job.
-    void walk_paths(const std::string& id, Micros after, std::optional<Micros>& earliest) const {
+    void visit_paths(const std::string& id, Micros after, std::optional<Micros>& earliest) const {
         const Job& job = job_table_.find(id)->job;
         if (job.deadline_s) {
             const Micros at = own_due(job) - after;
             if (!earliest || at < *earliest) earliest = at;
         }
-        for (const auto& later : needed_by(id)) {
-            const double stage_s = job_table_.find(later)->job.estimate_s * 1.5 + 5;
-            walk_paths(later, after + from_seconds(stage_s), earliest);
+        for (const auto& dependent : dependents_of(id)) {
+            const double stage_s = job_table_.find(dependent)->job.estimate_s * 1.5 + 5;
+            visit_paths(dependent, after + from_seconds(stage_s), earliest);
         }
     }
 
     const core::JobTable& job_table_;
     const std::vector<core::Objective>& objectives_;
-    Micros wall_;
+    Micros wall_clock_now_;
 };
 
 std::string random_job_id(int jobs) { return "req-" + std::to_string(100 + *rc::gen::inRange(0, jobs)); }
@@ -165,13 +166,13 @@
     core::JobTable job_table;
     const int jobs = 8 - *rc::gen::inRange(0, 7);
     // Some jobs depend on jobs submitted later. Users cannot create such cycles, but they must be handled.
-    const bool circles = one_in(4);
+    const bool cycles = one_in(4);
     for (int i = 0; i < jobs; ++i) {
         const std::string id = "req-" + std::to_string(100 + i);
         std::vector<std::string> dependencies;
         const int names = 3 - *rc::gen::inRange(0, 4);
-        for (int k = 0; k < names && (i > 0 || circles); ++k)
-            dependencies.push_back(random_job_id(circles ? jobs : i));
+        for (int k = 0; k < names && (i > 0 || cycles); ++k)
+            dependencies.push_back(random_job_id(cycles ? jobs : i));
         const auto priority = static_cast<Priority>(*rc::gen::inRange(0, 4));
         Job job = dependencies.empty() ? ordinary_job(id, priority) : waiting_job(id, priority, dependencies);
         job.estimate_s = *rc::gen::inRange(0, 40);
@@ -199,14 +200,14 @@
         if (*rc::gen::arbitrary<bool>()) objectives.push_back({"deadline", "c", 0, 0.9, 1.5});
         const Micros wall_clock_now{100'000'000};
         const auto schedule = PipelineSchedule::build(job_table, objectives, wall_clock_now);
-        const PlainModel model{job_table, objectives, wall_clock_now};
+        const BruteForceModel model{job_table, objectives, wall_clock_now};
         std::size_t demands = 0;
         std::set<std::string> upcoming;
         for (const auto& [id, entry] : job_table.jobs()) {
             const bool runs = model.can_run(id) && (entry.job.waiting() || !entry.finished());
             if (runs && entry.job.waiting()) upcoming.insert(id);
             const InheritedDemand* found = schedule.find(id);
-            const bool expected = runs && model.needed(id);
+            const bool expected = runs && model.has_dependents(id);
             RC_ASSERT((found != nullptr) == expected);
             if (!expected) continue;
             ++demands;
@@ -521,8 +522,8 @@
     Job other = ordinary_job("req-1", Priority::best_effort, 1, 4);
     other.team = "y";
     run_alone(cluster, other, 1);
-    auto waiting =
-        waiting_job("req-2", Priority::best_effort, {"req-1"});  // older, and of the same team as req-3
+    // Older than req-3 and of the same team.
+    auto waiting = waiting_job("req-2", Priority::best_effort, {"req-1"});
     waiting.tasks = 4;
     cluster.job_table.put_job(waiting, 3);
     Job queued = ordinary_job("req-3", Priority::best_effort, 1, 4);
@@ -559,8 +560,8 @@
 TEST(PipelineScaleOut, ScalesOutAheadOnlyWhenConfigured) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 1000, 1000, 0, 0};
-    run_alone(cluster, ordinary_job("req-1", Priority::best_effort, 1, 4),
-              1);  // 15 s of its estimate are left
+    // Its earliest finish is in 15 s, after half of its estimate.
+    run_alone(cluster, ordinary_job("req-1", Priority::best_effort, 1, 4), 1);
     auto wide = waiting_job("req-2", Priority::best_effort, {"req-1"});
     wide.tasks = 100;
     cluster.job_table.put_job(wide, 3);
