--- a/src/scheduling/attempt_page_split.cpp
+++ b/src/scheduling/attempt_page_split.cpp
@@ -10,7 +10,7 @@
 namespace hatchwind::controller {
 
 namespace {
-constexpr std::size_t kPageFrameBytes = 8;   // of a page record without chunks
+constexpr std::size_t kPageFrameBytes = 8;   // a page record without chunks
 constexpr std::size_t kChunkFrameBytes = 8;  // quotes, slash, colon, comma
 
 struct SizedChunk {
@@ -42,7 +42,7 @@
                                     std::size_t max_parts) {
     std::vector<PageContent> parts(1);
     std::vector<std::size_t> sizes{kPageFrameBytes};
-    // First fit decreasing: the transaction has room for few parts.
+    // First-fit decreasing keeps the number of parts low: a transaction has room for only a few.
     for (const auto& [bytes, key] : largest_first(content)) {
         std::size_t part = 0;
         while (part < parts.size() && !parts[part].empty() && sizes[part] + bytes > max_bytes) ++part;
--- a/src/scheduling/attempt_page_split.hpp
+++ b/src/scheduling/attempt_page_split.hpp
@@ -1,5 +1,5 @@
-/// Keeps attempt pages below the store's value limit, also those that were written under a larger limit.
-/// Pure: no state, and no chunk is copied.
+/// Splits attempt pages that exceed the store's value limit, such as pages that were written under a larger
+/// limit. Stateless; chunks are referenced, not copied.
 #pragma once
 
 #include <map>
@@ -9,20 +9,22 @@
 
 namespace hatchwind::controller {
 
-/// What one page records. The chunks are the caller's.
+/// The chunks that one page records. Does not own the chunks.
 using PageContent = std::map<core::ChunkKey, const core::Chunk*>;
 
-/// Size of the record of a chunk within a page, in bytes of the JSON form (which the limits count).
+/// Returns the size of a chunk's record within a page, in bytes of its JSON form, to which the store's limits
+/// apply.
 std::size_t chunk_bytes(const core::ChunkKey& key, const core::Chunk& chunk);
-/// Size of the record of a page, in bytes of the JSON form; never less than what is written.
+/// Returns an upper bound of the size of a page's record, in bytes of its JSON form.
 std::size_t page_bytes(const PageContent& content);
 
-/// Divides a page into parts of at most `max_bytes` each, except that a chunk is never divided. The first
-/// part is what stays on the page. With more than `max_parts` parts, the last ones are joined to the first,
-/// which then is still too large but smaller than before: the rest follows with the next write.
+/// Splits a page into parts of at most `max_bytes` each. A chunk is never split, so a part that consists of
+/// one large chunk may exceed `max_bytes`. The first part stays on the original page. If there are more than
+/// `max_parts` parts, the excess parts are merged into the first one, which then is still too large but
+/// smaller than before; the next write of the page splits it again.
 ///
-/// All parts have to be written in one transaction: a reader, of whatever version, drops the chunks that a
-/// page no longer names unless another page has brought them at the same revision.
+/// All parts must be written in one transaction: readers of every software version drop the chunks that a
+/// page no longer names unless another page names them at the same revision.
 std::vector<PageContent> split_page(const PageContent& content, std::size_t max_bytes, std::size_t max_parts);
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -14,15 +14,16 @@
 using io::Micros;
 
 namespace {
-// Completions alone wait for company: at first for so long, and while the budget is short for longer.
-constexpr Micros kCompletionWait{4'000'000};
-constexpr Micros kMaxCompletionWait{15'000'000};
-// Of a team's limit: above it, starts wait for completions to be recorded.
+// A write that records only completions is delayed so that it can be combined with other changes of the same
+// page: always by kCompletionDelay, and by up to kMaxCompletionDelay while the write budget is short.
+constexpr Micros kCompletionDelay{4'000'000};
+constexpr Micros kMaxCompletionDelay{15'000'000};
+// Fraction of a team's limit above which its starts depend on completions being recorded.
 constexpr double kNearLimitShare = 0.85;
-// Estimates of the JSON form.
+// Estimated sizes in JSON form.
 constexpr std::size_t kFinishBytes = 300;
 constexpr std::size_t kChunkBytes = 60;
-constexpr std::size_t kAttemptBytes = 14;  // beside the machine's name
+constexpr std::size_t kAttemptBytes = 14;  // without the machine's name
 constexpr std::size_t kDoneRangeBytes = 8;
 constexpr std::size_t kJobConditionsPerWrite = 3;
 
@@ -48,7 +49,7 @@
     std::vector<WriteUnit> units;
     const JobSet ending_jobs(staged.finished_jobs.begin(), staged.finished_jobs.end());
     for (const auto& job : staged.finished_jobs) units.push_back(finish_unit(job, staged));
-    std::erase_if(waiting_since_,
+    std::erase_if(completion_staged_at_,
                   [&](const auto& waiting) { return !staged.chunks.contains(waiting.first); });
     if (staged.chunks.empty()) return units;
     const AssignedChunks assigned = assign_pages(
@@ -62,7 +63,7 @@
 }
 
 void AttemptPageWriter::record_committed(const std::vector<core::ChunkKey>& chunks) {
-    for (const auto& key : chunks) waiting_since_.erase(key);
+    for (const auto& key : chunks) completion_staged_at_.erase(key);
 }
 
 std::uint32_t AttemptPageWriter::done_tasks(const core::JobEntry& entry, const StagedRecords& staged) const {
@@ -120,12 +121,11 @@
     unit.rank = WriteRank::lowest;
     unit.conditions.push_back({keys::page(page), mod_revision_of(page)});
     PageContent content = current_content(page, pass.ending_jobs);
-    // Of those that a transaction may have, some are left to the epoch and to the parts of a page that is
-    // split.
+    // Leaves room in the transaction for the conditions on the epoch and on the new pages of a split.
     const std::size_t max_conditions = kJobConditionsPerWrite * settings_.txn_ops - 1;
     for (const auto& key : chunks) {
         const ChunkRecord& record = pass.staged.chunks.at(key);
-        // The next pass takes it.
+        // Left to the next pass: there is no room for another condition on a job.
         if (!record.started.empty() && unit.conditions.size() >= max_conditions) continue;
         add_chunk(unit, key, record, pass.monotonic_now);
         content[key] = &record.chunk;
@@ -161,7 +161,7 @@
     const core::JobEntry& entry = *replicated_.job_table().find(key.job);
     unit.rank = std::min(unit.rank, rank_of(key, record, entry.job, monotonic_now));
     if (!record.started.empty()) {
-        // A cancellation that comes first must keep the start from being recorded; and so must the job's end.
+        // The condition prevents the start from being recorded if the job was cancelled or has ended.
         const wire::Condition condition{keys::job(key.job), entry.mod_revision};
         if (unit.conditions.back() != condition) unit.conditions.push_back(condition);
     }
@@ -176,10 +176,10 @@
     if (!record.started.empty()) return production ? WriteRank::production : WriteRank::start;
     // Ends of tasks alone are repeated in the worker's heartbeats until they are acknowledged. They wait for
     // company, since each write of a page counts the same however much it says.
-    const Micros waited = monotonic_now - waiting_since_.try_emplace(key, monotonic_now).first->second;
+    const Micros waited = monotonic_now - completion_staged_at_.try_emplace(key, monotonic_now).first->second;
     if (record.blocks_restart) return production ? WriteRank::production : WriteRank::urgent;
-    if (waited <= kCompletionWait) return WriteRank::completion;
-    const bool overdue = waited > kMaxCompletionWait || is_near_limit(job.team);
+    if (waited <= kCompletionDelay) return WriteRank::completion;
+    const bool overdue = waited > kMaxCompletionDelay || is_near_limit(job.team);
     return overdue ? WriteRank::overdue_completion : WriteRank::due_completion;
 }
 
--- a/src/scheduling/attempt_reconciler.cpp
+++ b/src/scheduling/attempt_reconciler.cpp
@@ -16,7 +16,7 @@
 namespace {
 constexpr double kMinUnresponsiveSeconds = 3.0;
 constexpr double kUnresponsiveHeartbeatIntervals = 1.5;
-// A stop that lets the task save is under way for longer than a plain one.
+// A stop that lets the task write a checkpoint takes longer than one without a grace period.
 constexpr Micros kSavingStopResendInterval = kStopResendInterval * 5;
 constexpr double kSaveMarginSeconds = 1.0;
 constexpr double kNoticeMarginSeconds = 3.0;
@@ -25,7 +25,7 @@
     return job.checkpoint_s > 0 && task == TaskState::running;
 }
 
-// How one chunk of a job changes by what is staged.
+// Difference between the staged and the recorded state of one chunk.
 struct ChunkChange {
     std::uint32_t newly_done = 0;
     std::uint32_t newly_closed = 0;
@@ -55,8 +55,9 @@
 
 AttemptReconciler::MachineState AttemptReconciler::state_of(const core::MachineView* view,
                                                             Micros monotonic_now) const {
-    // Whatever its last heartbeat said of its tasks: when many machines become unresponsive at once nobody
-    // releases them, and what ran on them has ended with their leases. One that sends heartbeats has a lease.
+    // Does not depend on the tasks that the last heartbeat listed: when many machines become unresponsive at
+    // once they are not released, but their tasks have ended with their leases. A machine that sends
+    // heartbeats holds a lease.
     const double limit_s =
         std::max(kMinUnresponsiveSeconds, settings_.report_s * kUnresponsiveHeartbeatIntervals);
     const bool unresponsive =
@@ -64,7 +65,7 @@
     return {view, unresponsive, monotonic_now};
 }
 
-bool AttemptReconciler::is_leaving(const core::MachineView& view, const std::string& machine) const {
+bool AttemptReconciler::is_evacuating(const core::MachineView& view, const std::string& machine) const {
     return view.notice_until || replicated_.draining().contains(machine);
 }
 
@@ -74,15 +75,15 @@
     const bool same = previous->incarnation == current.incarnation &&
                       previous->content_sequence == current.content_sequence &&
                       previous->version == current.version;
-    return same && !state.unresponsive && !is_leaving(*state.view, current.machine);
+    return same && !state.unresponsive && !is_evacuating(*state.view, current.machine);
 }
 
 void AttemptReconciler::reconcile_machines(StagedRecords& staged) {
     const Micros now = steady_now();
     const auto& recorded_machines = replicated_.job_table().by_machine();
-    spare_reconciled_.clear();
-    spare_reconciled_.reserve(recorded_machines.size());
-    // Cluster view, job table and the last pass are all in the order of the machines' ids.
+    next_reconciled_.clear();
+    next_reconciled_.reserve(recorded_machines.size());
+    // Merges the cluster view, the job table and the state of the last pass, all sorted by machine id.
     auto view = workers_.cluster_view().machines().begin();
     const auto views_end = workers_.cluster_view().machines().end();
     auto previous = reconciled_.cbegin();
@@ -93,10 +94,10 @@
         const bool is_known = view != views_end && view->first == id;
         const bool is_reconciled = previous != previous_end && previous->machine == id;
         const MachineState state = state_of(is_known ? &view->second : nullptr, now);
-        spare_reconciled_.push_back(
+        next_reconciled_.push_back(
             reconcile_machine(staged, id, recorded, state, is_reconciled ? &*previous : nullptr));
     }
-    std::swap(reconciled_, spare_reconciled_);
+    std::swap(reconciled_, next_reconciled_);
 }
 
 AttemptReconciler::ReconciledMachine AttemptReconciler::reconcile_machine(StagedRecords& staged,
@@ -125,7 +126,7 @@
     const core::JobEntry* last_entry = nullptr;
     bool ours = false;
     for (const auto& [task, recorded] : tasks) {
-        // One machine's tasks are in the order of their jobs.
+        // A machine's tasks are sorted by job.
         if (recorded.entry != last_entry) {
             last_entry = recorded.entry;
             ours = leadership_.owns_shard(last_entry->job.team) && !last_entry->job.cancelled;
@@ -203,7 +204,7 @@
 
 void AttemptReconciler::reconcile_exited(StagedRecords& staged, const OpenAttempt& open, ExitCause cause) {
     failure_backoff_.record_exit(open, cause);
-    // A service is never done.
+    // A service that exits has to be started again.
     const bool done = cause == ExitCause::done && open.entry.job.kind != core::JobKind::service;
     staged.close(open, done ? TaskOutcome::done : TaskOutcome::unfinished);
 }
@@ -214,7 +215,8 @@
         dispatcher_.repeat_start(open, state.monotonic_now);
         return;
     }
-    // Not started, and nothing of it under way under any fencing token that the worker still takes.
+    // The task has not started, and no start command with a fencing token that the worker still accepts can
+    // be under way.
     if (!dispatcher_.start_pending(open) &&
         state.view->last_heartbeat.fencing_token >= replicated_.epoch().number) {
         staged.close(open, TaskOutcome::unfinished);
@@ -231,14 +233,14 @@
     }
     if (task == TaskState::saving) return Revisit::next_pass;
     if (state.view->notice_until) {
-        save_before_notice(open, *state.view->notice_until - state.monotonic_now, task);
+        save_before_reclaim(open, *state.view->notice_until - state.monotonic_now, task);
     } else if (replicated_.draining().contains(open.attempt.machine)) {
         evict_gracefully(open, task);
     }
-    return is_leaving(*state.view, open.attempt.machine) ? Revisit::next_pass : Revisit::on_change;
+    return is_evacuating(*state.view, open.attempt.machine) ? Revisit::next_pass : Revisit::on_change;
 }
 
-void AttemptReconciler::save_before_notice(const OpenAttempt& open, Micros time_left, TaskState task) {
+void AttemptReconciler::save_before_reclaim(const OpenAttempt& open, Micros time_left, TaskState task) {
     const core::Job& job = open.entry.job;
     const Micros time_to_save = core::from_seconds(job.save_s + kNoticeMarginSeconds);
     if (can_save(job, task) && time_left < time_to_save)
--- a/src/scheduling/attempt_reconciler.hpp
+++ b/src/scheduling/attempt_reconciler.hpp
@@ -1,6 +1,6 @@
-/// Reconciliation of attempts: compares what is recorded as open with what the workers list, closes what has
-/// ended, repeats what has not arrived and stops what must not go on. Owns what each machine looked like in
-/// the last pass.
+/// Reconciles the attempts that are recorded as open with the tasks that the workers list: closes attempts
+/// that have ended, resends start commands that have not arrived, and stops tasks that must not keep running.
+/// Keeps the state of each machine as of the last pass, to skip machines that have not changed.
 #pragma once
 
 #include <string>
@@ -18,8 +18,8 @@
 
 namespace hatchwind::controller {
 
-/// Reads the replica and the workers' status; changes commands, failure backoff and the incarnations that
-/// worker leases remember.
+/// Reads the replica and the workers' status. Sends commands through the dispatcher and updates the failure
+/// backoff and the incarnations that are tracked by the worker leases.
 class AttemptReconciler {
   public:
     AttemptReconciler(const Settings& settings, const ReplicatedState& replicated,
@@ -33,36 +33,36 @@
           dispatcher_(dispatcher),
           failure_backoff_(failure_backoff) {}
 
-    /// Stages the ends of the attempts of this controller's shard, and the jobs that are over with them.
+    /// Stages the ends of attempts of this controller's shard, and the jobs that are finished by them.
     void reconcile(StagedRecords& staged);
-    /// Looks at every attempt anew.
+    /// Makes the next pass reconcile every attempt.
     void start_epoch() { reconciled_.clear(); }
 
   private:
-    /// What is the same for all attempts on one machine.
+    /// State of a machine that applies to all its attempts.
     struct MachineState {
         const core::MachineView* view = nullptr;  // null: not in the cluster view
-        bool unresponsive = false;                // for so long that its lease may have expired
+        bool unresponsive = false;                // long enough that its lease may have expired
         io::Micros monotonic_now{0};
     };
-    /// When an attempt or a machine has to be looked at again.
+    /// When an attempt or a machine has to be reconciled again.
     enum class Revisit : std::uint8_t {
-        on_change,  // of its machine, its record or its job
+        on_change,  // when its machine, its record or its job changes
         next_pass,
     };
-    /// A machine with recorded attempts, as the last pass left it.
+    /// State of a machine with recorded attempts, as of the last pass.
     struct ReconciledMachine {
         std::string machine;
         std::uint64_t incarnation = 0;
         std::uint64_t content_sequence = 0;
-        std::uint64_t version = 0;  // of its recorded attempts
+        std::uint64_t version = 0;  // version of its recorded attempts
         Revisit revisit = Revisit::next_pass;
     };
 
     MachineState state_of(const core::MachineView* view, io::Micros monotonic_now) const;
     bool owns_any_shard() const;
-    /// The cloud takes the machine away, or it is cordoned.
-    bool is_leaving(const core::MachineView& view, const std::string& machine) const;
+    /// Returns true if the cloud is about to reclaim the machine, or if the machine is cordoned.
+    bool is_evacuating(const core::MachineView& view, const std::string& machine) const;
 
     void reconcile_machines(StagedRecords& staged);
     /// `previous`: null when the machine had no attempts in the last pass.
@@ -80,9 +80,12 @@
     void reconcile_exited(StagedRecords& staged, const OpenAttempt& open, core::ExitCause cause);
     void reconcile_unlisted(StagedRecords& staged, const OpenAttempt& open, const MachineState& state);
     Revisit reconcile_live(const OpenAttempt& open, const MachineState& state, core::TaskState task);
-    /// The cloud takes the machine: save at the last moment that surely suffices; what cannot save runs on.
-    void save_before_notice(const OpenAttempt& open, io::Micros time_left, core::TaskState task);
-    /// The machine is cordoned: what saves is moved, services are moved, plain tasks run to their end.
+    /// Handles a task on a machine that the cloud is about to reclaim. A task that can write a checkpoint is
+    /// stopped as late as its checkpoint safely allows; a task that is still fetching is stopped at once.
+    /// Other tasks keep running.
+    void save_before_reclaim(const OpenAttempt& open, io::Micros time_left, core::TaskState task);
+    /// Handles a task on a cordoned machine. Stops services, tasks that can write a checkpoint, and tasks
+    /// that are still fetching, so that they start elsewhere. Other tasks run to completion.
     void evict_gracefully(const OpenAttempt& open, core::TaskState task);
 
     const Settings& settings_;
@@ -92,10 +95,10 @@
     WorkerLeases& leases_;
     CommandDispatcher& dispatcher_;
     FailureBackoff& failure_backoff_;
-    // In the order of the machines' ids. Most are as they were, and looking at every attempt in every pass
-    // took half of a controller's time.
+    // Sorted by machine id. Most machines do not change between passes, and reconciling every attempt in
+    // every pass would take half of a controller's time.
     std::vector<ReconciledMachine> reconciled_;
-    std::vector<ReconciledMachine> spare_reconciled_;  // its memory serves the next pass
+    std::vector<ReconciledMachine> next_reconciled_;  // filled by the next pass; its memory is reused
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/cancellation_enforcer.cpp
+++ b/src/scheduling/cancellation_enforcer.cpp
@@ -16,15 +16,15 @@
 
 namespace {
 constexpr Micros kInterval{500'000};
-// The shard owner has stopped its tasks by then, unless something is wrong.
-constexpr Micros kShardOwnerHeadStart{2'000'000};
+// Time within which a healthy shard owner stops its own tasks; other controllers act only after it.
+constexpr Micros kShardOwnerGracePeriod{2'000'000};
 constexpr Micros kStopResendInterval{2'000'000};
-// Shares of the time that a cancellation may take. The leader releases a machine first; another controller
-// does when the machine is still there a while later, whoever leads.
+// Fractions of the time limit for cancellations. The cluster leader releases a machine first. Any controller
+// releases it if the machine still exists some time later.
 constexpr double kProbeShare = 0.4;
 constexpr double kLeaderReleasesShare = 0.5;
-constexpr double kAnyoneReleasesShare = 0.65;
-constexpr std::size_t kMaxReleasesPerCall = 100;  // what one call to the cloud may name
+constexpr double kAnyControllerReleasesShare = 0.65;
+constexpr std::size_t kMaxReleasesPerCall = 100;  // limit of one call to the cloud
 }  // namespace
 
 Micros CancellationEnforcer::share_of_limit(double share) const {
@@ -56,7 +56,7 @@
     std::erase_if(stopped_at_, [&](const auto& stop) { return now - stop.second > kStopResendInterval; });
     for (const OpenTask& open : tasks) {
         if (open.shard_owner == ShardOwner::this_controller || open.status != AttemptStatus::live) continue;
-        if (open.cancelled_for < kShardOwnerHeadStart) continue;
+        if (open.cancelled_for < kShardOwnerGracePeriod) continue;
         if (!stopped_at_.emplace(open.task, now).second) continue;
         spdlog::debug("event=cancelled_task_stopped job={} task={} machine={}", open.task.job, open.task.task,
                       open.attempt.machine);
@@ -66,16 +66,16 @@
 }
 
 Micros CancellationEnforcer::release_after(const OpenTask& task) const {
-    // A task that its machine does not list may just not have started: its shard owner is given longer.
+    // A task that its machine does not list may not have started yet, so its shard owner gets more time.
     const bool first = leadership_.is_cluster_leader() && task.status != AttemptStatus::unlisted;
-    return share_of_limit(first ? kLeaderReleasesShare : kAnyoneReleasesShare);
+    return share_of_limit(first ? kLeaderReleasesShare : kAnyControllerReleasesShare);
 }
 
 std::vector<std::string> CancellationEnforcer::overdue_machines(const std::vector<OpenTask>& tasks) {
     std::vector<std::string> machines;
     for (const OpenTask& open : tasks) {
         const std::string& machine = open.attempt.machine;
-        // An old view of the machine is no reason to release it: a probe brings a new one.
+        // A machine must not be released because of an outdated view of it: a probe refreshes the view.
         if (open.cancelled_for > share_of_limit(kProbeShare) &&
             workers_.cluster_view().find(machine) != nullptr) {
             probes_.request(machine);
--- a/src/scheduling/cancellation_enforcer.hpp
+++ b/src/scheduling/cancellation_enforcer.hpp
@@ -1,10 +1,11 @@
-/// Ends the tasks of cancelled jobs in time when the job's shard owner cannot. Owns when this controller last
-/// stopped which task.
+/// Ends the tasks of cancelled jobs within the time limit for cancellations when the job's shard owner
+/// cannot. Tracks when this controller last sent a stop command for each task.
 ///
-/// A shard owner may be unable to see the store, to act at all, or to reach a machine for longer than a
-/// cancellation may take. Stopping a cancelled task needs no record, so every controller that knows the
-/// cancellation and may act stops what it sees running; and releasing a machine at the cloud ends its tasks
-/// for certain, so any controller may do that for an unresponsive one, in an outage of the store too.
+/// A shard owner may be unable to reach the store, to run, or to reach a machine for longer than that limit.
+/// Stopping a cancelled task needs no record, so every controller that knows of the cancellation and holds
+/// its leadership lease sends stop commands for the tasks that it sees running. Releasing a machine at the
+/// cloud is certain to end its tasks, so any controller may release an unresponsive machine, even in an
+/// outage of the store.
 #pragma once
 
 #include <map>
@@ -22,7 +23,7 @@
 
 namespace hatchwind::controller {
 
-/// Reads replica and workers' status; changes commands, probes and, by releases, the fleet.
+/// Reads the replica and the workers' status. Enqueues commands, requests probes and releases machines.
 class CancellationEnforcer {
   public:
     CancellationEnforcer(io::Loop& loop, const Settings& settings, const ReplicatedState& replicated,
@@ -36,11 +37,11 @@
           probes_(probes),
           commands_(commands),
           scaling_(scaling) {}
-    /// Runs for as long as the controller lives.
+    /// Runs until the controller shuts down.
     io::Task<void> run();
 
   private:
-    /// Whether this controller schedules the task's job, and so stops it as the shard owner.
+    /// Which controller schedules the task's job and is the first to stop its tasks.
     enum class ShardOwner : std::uint8_t { this_controller, other };
     /// One task of a cancelled job that is not known to have ended.
     struct OpenTask {
@@ -52,12 +53,12 @@
     };
     std::vector<OpenTask> open_tasks() const;
     void stop_listed(const std::vector<OpenTask>& tasks);
-    /// Machines which have to be released now, so that their tasks end in time. Requests a probe of those
-    /// that come close.
+    /// Returns the machines that have to be released now for their tasks to end in time. Requests a probe of
+    /// machines that are close to that point.
     std::vector<std::string> overdue_machines(const std::vector<OpenTask>& tasks);
-    /// How long after its cancellation this controller releases a task's machine.
+    /// Returns the time after the cancellation at which this controller releases the task's machine.
     io::Micros release_after(const OpenTask& task) const;
-    /// A share of the time that a cancellation may take.
+    /// Returns a fraction of the time limit for cancellations.
     io::Micros share_of_limit(double share) const;
 
     io::Loop& loop_;
@@ -68,7 +69,8 @@
     ReachabilityProbes& probes_;
     CommandSender& commands_;
     ScalingController& scaling_;
-    std::map<core::TaskRef, io::Micros> stopped_at_;  // monotonic clock: tasks of other shard owners
+    // When this controller last sent a stop command for a task of another shard owner; monotonic clock.
+    std::map<core::TaskRef, io::Micros> stopped_at_;
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/command_dispatcher.cpp
+++ b/src/scheduling/command_dispatcher.cpp
@@ -65,8 +65,8 @@
     SentCommands& sent = sent_commands(open);
     if (monotonic_now - sent.last_stop < kStopResendInterval) return;
     sent.last_stop = monotonic_now;
-    // Brings the worker to this fencing token, and ends a start that is under way as soon as it arrives: the
-    // same start first, so that the stop has something to end.
+    // The stop makes the worker adopt the current fencing token. If a start command is under way, the same
+    // start is sent first, so that the stop ends the attempt no matter when that command arrives.
     if (start_pending(open)) enqueue(CommandKind::start, open);
     enqueue(CommandKind::stop, open);
 }
@@ -86,8 +86,9 @@
     });
 }
 
-// What is listed without an open record was closed by the shard owner of an earlier epoch; its starts carried
-// a lower fencing token, so once the worker has ours none of them can still take effect.
+// An attempt that is listed without an open record was closed by the shard owner of an earlier epoch. Its
+// start commands carry a lower fencing token, so none of them can take effect once the worker has the current
+// one.
 bool CommandDispatcher::reconcile_orphans() {
     const Micros now = steady_now();
     if (now - last_orphan_check_ < kOrphanCheckInterval) return false;
@@ -131,15 +132,16 @@
     const std::uint64_t first_seen_epoch = known == orphans_.end() ? epoch : known->second;
     found[orphan] = first_seen_epoch;
     if (state == TaskState::exited) {
-        // Nobody else has sent starts of this shard's tasks under this epoch, and those of earlier ones are
-        // void. Those of a job that is over may be under way from its shard owner under this epoch: its exits
-        // are acknowledged only when they were first seen before.
+        // Only this controller sends start commands for this shard's tasks in this epoch, and those of
+        // earlier epochs are void. The shard of a finished job is unknown here: its shard owner may have sent
+        // start commands in this epoch, so the exit is acknowledged only if it was first seen in an earlier
+        // one.
         const bool job_is_over = replicated_.job_table().find(orphan.job) == nullptr;
         if (job_is_over && first_seen_epoch >= epoch) return;
         enqueue(CommandKind::acknowledge_exit, orphan, view.last_heartbeat.incarnation);
         return;
     }
-    // An unresponsive machine's last heartbeat may list what its lease has ended since.
+    // The last heartbeat of an unresponsive machine may list tasks that have since ended with its lease.
     if (known == orphans_.end() || age == HeartbeatAge::stale) return;
     spdlog::warn("event=orphan_task_stopped job={} task={} attempt={} machine={}", orphan.job, orphan.task,
                  orphan.attempt, orphan.machine);
--- a/src/scheduling/command_dispatcher.hpp
+++ b/src/scheduling/command_dispatcher.hpp
@@ -1,5 +1,6 @@
-/// Commands to workers for the attempts of this controller's shard: starts once they are recorded, repeats,
-/// stops, and the acknowledgement of exits once they are recorded. Owns what was last sent for which attempt.
+/// Sends commands to workers for the attempts of this controller's shard: starts after they are recorded,
+/// resent starts, stops, and acknowledgements of exits after those are recorded. Tracks the last commands
+/// sent for each attempt.
 #pragma once
 
 #include <compare>
@@ -17,47 +18,51 @@
 
 namespace hatchwind::controller {
 
-/// How long a plain stop is given before it is sent again.
+/// Interval at which a stop command without a grace period is resent.
 constexpr io::Micros kStopResendInterval{1'000'000};
 /// Grace period of a stop that leaves no time to write a checkpoint, in seconds.
 constexpr double kNoGrace = 0;
 
-/// Reads replica and workers' status; changes the command queues. Commands of one machine leave in the order
-/// in which they are dispatched.
+/// Reads the replica and the workers' status; appends to the command queues. Commands to one machine are sent
+/// in the order in which they are dispatched.
 class CommandDispatcher {
   public:
     CommandDispatcher(const ReplicatedState& replicated, const Leadership& leadership,
                       const WorkerStatus& workers, CommandSender& commands)
         : replicated_(replicated), leadership_(leadership), workers_(workers), commands_(commands) {}
 
-    /// Sends the first start of an attempt. Its record must be committed.
+    /// Sends the first start command of an attempt. The attempt's record must be committed.
     void dispatch_start(const TaskAttempt& started);
-    /// For an attempt that its worker does not list yet. A repeated start is harmless until its exit is
-    /// acknowledged, and acknowledgements follow the committed end only.
+    /// Resends the start command of an attempt that its worker does not list yet, unless it was sent
+    /// recently. A duplicate start has no effect until the attempt's exit is acknowledged, and an exit is
+    /// acknowledged only after the attempt's end is committed.
     void repeat_start(const OpenAttempt& open, io::Micros monotonic_now);
-    /// Does nothing before `resend_interval` has passed since the last stop of the attempt.
+    /// Sends a stop command with a grace period of `grace_s` seconds. Does nothing until `resend_interval`
+    /// has passed since the attempt's last stop command.
     void stop(const OpenAttempt& open, double grace_s, io::Micros resend_interval);
-    /// Ends an attempt that its worker does not list, and a start of it that is under way.
+    /// Sends a stop command for an attempt that its worker does not list; it also ends an attempt whose start
+    /// command is under way.
     void stop_unlisted(const OpenAttempt& open, io::Micros monotonic_now);
-    /// Stops a task to make capacity free for another one.
+    /// Sends the stop command of a preemption, which frees capacity for another task.
     void preempt(const core::Stop& stop);
-    /// True while a copy of the attempt's start may still arrive.
+    /// Returns true while a copy of the attempt's start command may still arrive.
     bool start_pending(const OpenAttempt& open) const;
 
-    /// The end of the attempt is committed: its exit is acknowledged when no copy of its start can arrive any
-    /// more.
+    /// Queues the acknowledgement of the exit of an attempt whose end is committed. It is sent once no copy
+    /// of the attempt's start command can arrive.
     void queue_exit_acknowledgement(TaskAttempt closed) {
         exits_to_acknowledge_.push_back(std::move(closed));
     }
     /// Sends the acknowledgements that are due.
     void acknowledge_exits();
-    /// Every two seconds: ends what workers list without an open record. True when it was time for that.
+    /// Stops, or acknowledges the exit of, attempts that workers list without an open record. Runs every two
+    /// seconds; returns false if the last run was more recent than that.
     bool reconcile_orphans();
-    /// Commands of earlier epochs are void.
+    /// Discards the commands tracked in earlier epochs, which workers no longer accept.
     void start_epoch() { sent_commands_.clear(); }
 
   private:
-    /// What was last sent for a task's attempt; monotonic clock.
+    /// When the last commands for a task's attempt were sent; monotonic clock.
     struct SentCommands {
         std::uint64_t attempt = 0;
         io::Micros last_start{0};
@@ -71,8 +76,8 @@
         std::uint64_t attempt = 0;
         friend auto operator<=>(const ListedAttempt&, const ListedAttempt&) = default;
     };
-    /// Attempts that are listed without an open record, to the number of the epoch in which each was first
-    /// seen.
+    /// Maps each attempt that is listed without an open record to the number of the epoch in which it was
+    /// first seen.
     using Orphans = std::map<ListedAttempt, std::uint64_t>;
     enum class HeartbeatAge : std::uint8_t { fresh, stale };
 
@@ -83,7 +88,7 @@
     bool is_orphan(const std::string& machine, const core::TaskStatus& listed) const;
     void reconcile_machine(const std::string& machine, const core::MachineView& view,
                            io::Micros monotonic_now, Orphans& found);
-    /// Acknowledges its exit, or stops it.
+    /// Acknowledges the orphan's exit, or stops the orphan if it is still running.
     void reconcile_orphan(const ListedAttempt& orphan, const core::MachineView& view, core::TaskState state,
                           HeartbeatAge age, Orphans& found);
 
@@ -93,7 +98,7 @@
     CommandSender& commands_;
     std::map<core::TaskRef, SentCommands> sent_commands_;
     std::vector<TaskAttempt> exits_to_acknowledge_;
-    Orphans orphans_;                  // as the last check found them
+    Orphans orphans_;                  // found by the last check
     io::Micros last_orphan_check_{0};  // monotonic clock
 };
 
