--- a/src/scheduling/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -174,8 +174,8 @@
                                      const core::Job& job, Micros monotonic_now) {
     const bool production = job.priority == core::Priority::production;
     if (!record.started.empty()) return production ? WriteRank::production : WriteRank::start;
-    // Ends of tasks alone are repeated in the worker's heartbeats until they are acknowledged. They wait for
-    // company, since each write of a page counts the same however much it says.
+    // Workers repeat a completion in their heartbeats until it is acknowledged, so its record can be delayed.
+    // The delay combines completions in one write: the write budget counts page writes, not their size.
     const Micros waited = monotonic_now - completion_staged_at_.try_emplace(key, monotonic_now).first->second;
     if (record.blocks_restart) return production ? WriteRank::production : WriteRank::urgent;
     if (waited <= kCompletionDelay) return WriteRank::completion;
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -20,17 +20,18 @@
 constexpr Micros::rep kMicrosPerMilli = 1000;
 constexpr Micros kInterval{300'000};
 constexpr Micros kMinPause{30'000};
-// A pass that takes long on this machine leaves most of the time to others.
-constexpr int kPauseInPasses = 9;
+// The pause before a pass is at least this multiple of the last planning time, so that slow passes leave most
+// of the processor time to other work.
+constexpr int kPauseToPlanningRatio = 9;
 constexpr Micros kPauseAfterFailure{200'000};
 constexpr Micros kListRemovalInterval{5'000'000};
 constexpr Micros kReadTimeout{2'000'000};
 constexpr Micros kCommitTimeout{3'000'000};
-constexpr std::size_t kMaxFinalStatesRead = 1000;         // in one pass
-constexpr std::size_t kMaxTransactionBytes = 48U << 10U;  // of the JSON form
+constexpr std::size_t kMaxFinalStatesRead = 1000;         // per pass
+constexpr std::size_t kMaxTransactionBytes = 48U << 10U;  // in JSON form
 constexpr std::size_t kResolutionOverheadBytes = 200;
-// Users see a cancellation whether or not it has been written, so these writes give way to others:
-// they take what the budget has to spare, and a little in any case.
+// Users see a cancellation before it has been written, so these writes have a low priority: they use the
+// unused part of the write budget, and at least one transaction per pass.
 constexpr std::size_t kMinCancelGroups = 1;
 constexpr std::size_t kMaxCancelGroups = 8;
 }  // namespace
@@ -49,7 +50,7 @@
     job.dependencies.clear();
     job.dependency_list.clear();
     job.dependency_parts = 0;
-    // All times but the deadline count from the release; the deadline stays where it is.
+    // All times count from the release, except the deadline, whose absolute time is kept.
     const Micros wall_clock_now = io::wall_now();
     if (job.deadline_s)
         *job.deadline_s -= std::chrono::duration<double>(wall_clock_now - job.accepted).count();
@@ -111,12 +112,13 @@
                                         CommitPriority{urgency == Urgency::release, std::nullopt});
         const CommitResult result = co_await std::move(committing);
         if (result.outcome == CommitOutcome::conflict) {
-            // Written by another controller, by an earlier copy of this transaction, or cancelled meanwhile.
+            // Another controller or an earlier copy of this transaction has written the record, or the job
+            // has been cancelled.
             auto waiting = replica_.wait_for_conflict(conditions, result, steady_now() + kReadTimeout);
             co_await std::move(waiting);
         }
-        // Without an answer it may be committed at any time: it then does what the next pass would do, and
-        // the conditions leave only one of them.
+        // A transaction without an answer may be committed at any later time. It then has the same effect as
+        // that of the next pass, and the conditions let only one of the two commit.
         if (result.outcome != CommitOutcome::committed) co_return CommitsOutcome::stopped;
         for (Resolution& resolution : remaining.first(group.resolutions))
             apply_committed(resolution, result.revision);
@@ -144,7 +146,7 @@
     auto plan = core::plan_dependencies(
         replicated_.job_table(), [this](const std::string& job) { return final_states_.ending(job); },
         [this](const core::Job& job) { return acts_for(job); });
-    planning_took_ = steady_now() - began;
+    last_planning_duration_ = steady_now() - began;
     if (!plan.release.empty() || !plan.cancel.empty())
         spdlog::debug("event=dependencies releases={} cancels={} unknown={}", plan.release.size(),
                       plan.cancel.size(), plan.unknown_terminal_states.size());
@@ -152,14 +154,15 @@
 }
 
 std::size_t DependencyReconciler::affordable_cancel_groups() {
-    const double spare_writes = std::max(0.0, store_.spare_writes());
-    const auto affordable = static_cast<std::size_t>(spare_writes) / settings_.txn_ops;
+    const double unused_writes = std::max(0.0, store_.spare_writes());
+    const auto affordable = static_cast<std::size_t>(unused_writes) / settings_.txn_ops;
     return std::clamp(affordable, kMinCancelGroups, kMaxCancelGroups);
 }
 
 Task<bool> DependencyReconciler::reconcile() {
     const core::DependencyPlan plan = plan_resolutions();
-    // Both are made from the records that the plan has seen: a commit may change the job table.
+    // Both lists are built before the first commit, from the records that the plan was made from: a commit
+    // may change the job table.
     std::vector<Resolution> releases;
     for (const auto& id : plan.release) releases.push_back(release(*replicated_.job_table().find(id)));
     std::vector<Resolution> cancellations;
@@ -170,19 +173,19 @@
         auto committing = commit(std::move(releases), max_groups, Urgency::release);
         outcome = co_await std::move(committing);
     }
-    bool news = false;
+    bool learned_final_states = false;
     if (outcome == CommitsOutcome::all_committed && !plan.unknown_terminal_states.empty()) {
         auto reading = read_final_states(plan.unknown_terminal_states);
         const bool all_answered = co_await std::move(reading);
         if (!all_answered) outcome = CommitsOutcome::stopped;
-        news = is_any_known(plan.unknown_terminal_states);
+        learned_final_states = is_any_known(plan.unknown_terminal_states);
     }
     if (outcome == CommitsOutcome::all_committed && !cancellations.empty()) {
         auto committing = commit(std::move(cancellations), affordable_cancel_groups(), Urgency::cancel);
         outcome = co_await std::move(committing);
     }
     if (outcome == CommitsOutcome::stopped) co_await loop_.sleep(kPauseAfterFailure);
-    co_return news;
+    co_return learned_final_states;
 }
 
 std::vector<std::string> DependencyReconciler::jobs_with_old_lists() const {
@@ -209,8 +212,8 @@
 Task<void> DependencyReconciler::remove_lists() {
     std::vector<std::string> unknown = jobs_with_old_lists();
     if (unknown.empty()) co_return;
-    // The list of a submission that is being accepted is written before the job: without a record of the job
-    // only its final state shows that the list has served.
+    // The dependency list of a submission is written before the job's record. If there is no record, only the
+    // job's final state proves that the list is obsolete.
     std::erase_if(unknown,
                   [&](const std::string& id) { return replicated_.job_table().find(id) != nullptr; });
     auto reading = read_final_states(std::move(unknown));
@@ -228,14 +231,15 @@
 }
 
 Task<void> DependencyReconciler::run() {
-    bool again = false;
+    bool run_immediately = false;
     while (true) {
-        if (!std::exchange(again, false)) co_await signals_.replica_advanced.wait(steady_now() + kInterval);
-        co_await loop_.sleep(std::max(kMinPause, kPauseInPasses * planning_took_));
+        if (!std::exchange(run_immediately, false))
+            co_await signals_.replica_advanced.wait(steady_now() + kInterval);
+        co_await loop_.sleep(std::max(kMinPause, kPauseToPlanningRatio * last_planning_duration_));
         if (!leadership_.holds_leadership() || !store_.reachable(steady_now())) continue;
         if (!replicated_.job_table().waiting().empty()) {
             auto pass = reconcile();
-            again = co_await std::move(pass);
+            run_immediately = co_await std::move(pass);
         }
         if (!leadership_.is_cluster_leader() || steady_now() - last_removal_ < kListRemovalInterval) continue;
         last_removal_ = steady_now();
--- a/src/scheduling/dependency_reconciler.hpp
+++ b/src/scheduling/dependency_reconciler.hpp
@@ -1,7 +1,7 @@
-/// Ends the waiting of jobs: releases those whose dependencies are done, and ends those that depend on a
-/// cancelled job. A reconcile loop: each pass compares what the replica and the final states say with what is
-/// written, so the next shard owner of a team carries on, and every write may be repeated. Owns no state
-/// beside its own pace.
+/// Resolves jobs that wait for dependencies: releases jobs whose dependencies are all done, and cancels jobs
+/// that depend on a cancelled job. This is a reconcile loop: each pass derives its writes from the replica
+/// and the final states, so a new shard owner of a team continues the work, and every write may be repeated.
+/// Keeps no state except for the timing of the loop.
 #pragma once
 
 #include <optional>
@@ -22,7 +22,8 @@
 
 namespace hatchwind::controller {
 
-/// Every write is conditional on the epoch and on the job's record as the plan has seen it.
+/// Every write is conditional on the epoch, and on the version of the job's record that the plan was made
+/// from.
 class DependencyReconciler {
   public:
     DependencyReconciler(io::Loop& loop, const Settings& settings, const ReplicatedState& replicated,
@@ -36,38 +37,40 @@
           replica_(replica),
           signals_(signals),
           final_states_(final_states) {}
-    /// Runs for as long as the controller lives.
+    /// Runs until the controller shuts down.
     io::Task<void> run();
 
   private:
-    /// The release or the end of one waiting job. What is written together or not at all.
+    /// The release or the cancellation of one waiting job. Its writes are committed atomically.
     struct Resolution {
         std::string job;
         core::Revision mod_revision = 0;        // of the job's record, which must be unchanged
-        wire::StoreItem record;                 // part of the replica once it is committed; no value: deleted
-        std::optional<FinalState> final_state;  // of a job that ends
-        std::size_t estimated_bytes = 0;        // of the JSON form
+        wire::StoreItem record;                 // applied to the replica once committed; no value: deleted
+        std::optional<FinalState> final_state;  // set if the job is cancelled
+        std::size_t estimated_bytes = 0;        // in JSON form
 
         std::size_t write_count() const { return final_state ? 2 : 1; }
     };
-    /// As many resolutions as go into one transaction.
+    /// The resolutions of one transaction.
     struct Group {
         wire::Transaction transaction;
         std::size_t resolutions = 0;
     };
-    /// A pipeline's deadline runs while a release waits for its write; users see a cancellation before
-    /// it is written.
+    /// Releases are more urgent: a pipeline's deadline runs until its release is written, whereas users see a
+    /// cancellation before it is written.
     enum class Urgency : std::uint8_t { release, cancel };
     enum class CommitsOutcome : std::uint8_t { all_committed, stopped };
 
-    /// This controller acts for the team that the job will belong to; the leader for what has no such team.
+    /// Returns true if this controller resolves the job: it owns the shard of the team that the job will
+    /// belong to, or it is the cluster leader and that team has no shard owner.
     bool acts_for(const core::Job& job) const;
     core::DependencyPlan plan_resolutions();
-    /// One pass. True when it has learned something that another pass may act on.
+    /// Runs one pass. Returns true if it has read final states that another pass can act on.
     io::Task<bool> reconcile();
-    /// How many transactions of cancellations the write budget bears in one pass.
+    /// Returns how many transactions of cancellations fit into the write budget of one pass.
     std::size_t affordable_cancel_groups();
-    /// Reads at most so many as one pass may. False when not all reads were answered.
+    /// Reads the final states of `jobs`, up to the limit of one pass. Returns false if any read got no
+    /// answer.
     io::Task<bool> read_final_states(std::vector<std::string> jobs);
     bool is_any_known(const std::vector<std::string>& jobs) const;
 
@@ -75,14 +78,16 @@
     static Resolution cancel(const core::JobEntry& entry);
     Group next_group(std::span<const Resolution> resolutions) const;
     void apply_committed(Resolution& resolution, core::Revision revision);
-    /// Group commits, at most `max_groups` of them, until one is not committed.
+    /// Commits the resolutions in at most `max_groups` transactions. Stops at the first that is not
+    /// committed.
     io::Task<CommitsOutcome> commit(std::vector<Resolution> resolutions, std::size_t max_groups,
                                     Urgency urgency);
 
-    /// Removes the dependency lists of jobs that wait no more. Cluster leader only.
+    /// Deletes the dependency lists of jobs that no longer wait. Cluster leader only.
     io::Task<void> remove_lists();
     std::vector<std::string> jobs_with_old_lists() const;
-    /// Deletions of the lists' parts that are known to have served, as many as one transaction takes.
+    /// Returns deletions of the parts of lists that are known to be obsolete, as many as fit into one
+    /// transaction.
     std::vector<wire::StoreItem> deletions_of_old_lists() const;
 
     io::Loop& loop_;
@@ -93,8 +98,8 @@
     Replica& replica_;
     ChangeSignals& signals_;
     FinalStateReader& final_states_;
-    io::Micros planning_took_{0};  // in the last pass
-    io::Micros last_removal_{0};   // monotonic clock
+    io::Micros last_planning_duration_{0};
+    io::Micros last_removal_{0};  // monotonic clock
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/failure_backoff.cpp
+++ b/src/scheduling/failure_backoff.cpp
@@ -16,7 +16,8 @@
 constexpr Micros kBusyBackoff{5'000'000};
 constexpr Micros kUnknownBackoff{3'000'000};
 constexpr int kMaxErrorsCounted = 6;
-// A failure that is seen with as many different machines is the job's, and the other way round.
+// A job that fails on this many different machines is considered faulty, and likewise a machine on which this
+// many different jobs fail.
 constexpr std::size_t kDistinctFailures = 2;
 }  // namespace
 
@@ -29,7 +30,7 @@
             jobs_.erase(open.job());
             break;
         case ExitCause::no_room:
-            // Another shard owner was faster; its record arrives by the watch.
+            // Another shard owner took the capacity first. Its record will arrive through the watch.
             machine.until = std::max(machine.until, now + kNoRoomBackoff);
             break;
         case ExitCause::busy:
@@ -48,8 +49,8 @@
     }
 }
 
-// A faulty machine fails many jobs' tasks, a faulty job fails on many machines: both are tried at growing
-// intervals, and neither stops the other for long.
+// Tasks of many jobs fail on a faulty machine, and a faulty job fails on many machines. Both are retried at
+// growing intervals, and a faulty job does not block healthy machines for long, or the other way round.
 void FailureBackoff::record_error(const OpenAttempt& open, BackoffState& machine, Micros monotonic_now) {
     BackoffState& job = jobs_[open.job()];
     job.errors = std::min(job.errors + 1, kMaxErrorsCounted);
@@ -58,7 +59,7 @@
         job.until = monotonic_now + core::job_backoff(job.errors);
     machine.failed_with.insert(open.job());
     machine.errors = std::min(machine.errors + 1, kMaxErrorsCounted);
-    // Errors of a job that fails elsewhere too say little about this machine.
+    // Errors of a job that also fails on other machines do not indicate a fault of this machine.
     const bool machine_suspect =
         machine.failed_with.size() >= kDistinctFailures || job.failed_with.size() < kDistinctFailures;
     if (machine_suspect) machine.until = monotonic_now + core::machine_backoff(machine.errors);
@@ -80,7 +81,7 @@
     return backoff;
 }
 
-void FailureBackoff::forget_gone() {
+void FailureBackoff::remove_obsolete() {
     std::erase_if(jobs_, [&](const auto& job) { return replicated_.job_table().find(job.first) == nullptr; });
     std::erase_if(machines_, [&](const auto& machine) {
         return workers_.cluster_view().find(machine.first) == nullptr;
--- a/src/scheduling/failure_backoff.hpp
+++ b/src/scheduling/failure_backoff.hpp
@@ -1,5 +1,5 @@
-/// Failures of jobs and machines, and the backoff that follows from them. Owns both; memory only, and each
-/// shard owner counts what it sees itself.
+/// Tracks failures of jobs and machines and the resulting backoff. Kept in memory only: each shard owner
+/// counts the failures that it observes itself.
 #pragma once
 
 #include <map>
@@ -18,20 +18,22 @@
     FailureBackoff(const ReplicatedState& replicated, const WorkerStatus& workers)
         : replicated_(replicated), workers_(workers) {}
 
-    /// An attempt has exited, and why.
+    /// Updates the backoff of the attempt's job and machine after the attempt has exited with `cause`.
     void record_exit(const OpenAttempt& open, core::ExitCause cause);
-    /// By job: until when its tasks are not tried. Monotonic clock; may be over.
+    /// Returns for each job the time until which its tasks are not started; monotonic clock. Includes times
+    /// in the past.
     std::map<std::string, io::Micros> job_backoff() const;
-    /// By machine: until when it takes no tasks of this shard. Monotonic clock; only what is still to come.
+    /// Returns for each machine the time until which no tasks of this shard are placed on it; monotonic
+    /// clock. Excludes times in the past.
     std::map<std::string, io::Micros> machine_backoff(io::Micros monotonic_now) const;
-    /// Drops jobs that are over and machines that are gone.
-    void forget_gone();
+    /// Drops finished jobs and machines that are no longer in the cluster view.
+    void remove_obsolete();
 
   private:
     struct BackoffState {
         int errors = 0;
         io::Micros until{0};                // monotonic clock
-        std::set<std::string> failed_with;  // a job's machines, a machine's jobs
+        std::set<std::string> failed_with;  // the machines on which a job failed, or a machine's failed jobs
     };
     void record_error(const OpenAttempt& open, BackoffState& machine, io::Micros monotonic_now);
 
--- a/src/scheduling/group_commit.cpp
+++ b/src/scheduling/group_commit.cpp
@@ -15,19 +15,19 @@
 using io::Task;
 
 namespace {
-constexpr std::size_t kMaxTransactionBytes = std::size_t{56} * 1024;  // of the JSON form
+constexpr std::size_t kMaxTransactionBytes = std::size_t{56} * 1024;  // in JSON form
 constexpr std::size_t kConditionsPerWrite = 4;
 constexpr Micros kCommitTimeout{3'000'000};
 constexpr Micros kConflictTimeout{2'000'000};
 constexpr Micros kEraseTimeout{1'000'000};
 constexpr Micros kPauseAfterUnknown{100'000};
 constexpr Micros kPauseAfterUnavailable{150'000};
-constexpr std::size_t kMaxPagesErased = 3;  // in one transaction
+constexpr std::size_t kMaxPagesErased = 3;  // per transaction
 constexpr Micros::rep kMicrosPerMilli = 1000;
 constexpr Micros kSingleUnitsAfterRefusal{10'000'000};
 constexpr Micros kUnitPauseAfterRefusal{2'000'000};
 
-// A unit is known by the first key that it writes.
+// Identifies a unit by the first key that it writes.
 const std::string& first_key(const WriteUnit& unit) { return unit.replicated_writes.front().key; }
 }  // namespace
 
@@ -83,7 +83,7 @@
 }
 
 bool GroupCommit::in_doubt() {
-    // No copy of a transaction of an earlier epoch can be committed any more.
+    // A transaction of an earlier epoch can't be committed any more.
     if (in_doubt_ && in_doubt_->epoch() != context_.replicated.epoch().mod_revision) in_doubt_.reset();
     return in_doubt_.has_value();
 }
@@ -94,7 +94,7 @@
     co_await std::move(sending);
 }
 
-double GroupCommit::Group::pressing_writes() const {
+double GroupCommit::Group::urgent_writes() const {
     double writes = 0;
     for (const WriteUnit& unit : units) {
         if (unit.rank <= WriteRank::overdue_completion) writes += static_cast<double>(unit.write_count());
@@ -104,7 +104,7 @@
 
 Task<bool> GroupCommit::send(Group group) {
     const Sending sending = in_doubt_ ? Sending::retry : Sending::first;
-    const CommitPriority priority{false, group.pressing_writes()};
+    const CommitPriority priority{false, group.urgent_writes()};
     auto commit = context_.store.commit(group.transaction, steady_now() + kCommitTimeout, priority);
     CommitResult result = co_await std::move(commit);
     switch (result.outcome) {
@@ -147,9 +147,9 @@
     if (caught_up && sending == Sending::retry) acknowledge_recorded_exits(group);
 }
 
-// Without an answer it may have been committed, or may be later: the same again until there is an answer. Its
-// conditions make all but one copy fail. That a retry was not executed says nothing about the first copy
-// (UserAnswers.ALateGroupCommitOfTheSameOwnerRecordsNothing).
+// A transaction without an answer may have been committed, or may be committed later. It is sent again until
+// there is an answer; its conditions let only one copy commit. A retry that was not executed does not resolve
+// the outcome of the first copy (UserAnswers.ALateGroupCommitOfTheSameOwnerRecordsNothing).
 Task<void> GroupCommit::handle_no_commit(Group group, CommitOutcome outcome, Sending sending) {
     const bool may_be_committed = outcome == CommitOutcome::unknown || sending == Sending::retry;
     if (!may_be_committed) {
@@ -161,7 +161,7 @@
                                                                    : kPauseAfterUnavailable);
 }
 
-// To be called before the record leaves the replica.
+// Must be called before the job's record is removed from the replica.
 void GroupCommit::log_end(const std::string& job) const {
     const core::JobEntry* entry = context_.replicated.job_table().find(job);
     if (entry == nullptr) return;
@@ -182,18 +182,19 @@
     for (const JobEnd& end : unit.job_ends) log_end(end.job);
     context_.replica.apply_own_commit(unit.replicated_writes, revision);
     for (const JobEnd& end : unit.job_ends) context_.replica.final_states().insert(end.job, end.state);
-    // Jobs that depend on these are released without waiting for the watch.
+    // Jobs that depend on the ended jobs can be released without waiting for the watch.
     if (!unit.job_ends.empty()) context_.signals.replica_advanced.notify_all();
     context_.page_writer.record_committed(unit.chunks);
     for (TaskAttempt& closed : unit.closed) context_.dispatcher.queue_exit_acknowledgement(std::move(closed));
 }
 
-// What is recorded may start; if this controller is the shard owner no more, its command is void.
+// Attempts may start once they are recorded. If this controller is no longer the shard owner, workers reject
+// its commands.
 void GroupCommit::dispatch_starts(const WriteUnit& unit, core::Revision epoch) {
     const bool same_epoch = epoch == context_.replicated.epoch().mod_revision;
     if (!context_.leadership.holds_leadership() || !same_epoch) return;
     for (const TaskAttempt& started : unit.started) {
-        // The answer may come long after the record, and a confirmed cancellation in between
+        // The store's answer may arrive long after the commit, and a cancellation may be confirmed in between
         // (UserAnswers.ACancelConfirmedBeforeTheStartsRecordIsAnsweredStartsNothing).
         const core::JobEntry* entry = context_.replicated.job_table().find(started.job);
         if (entry != nullptr && !entry->job.cancelled) context_.dispatcher.dispatch_start(started);
--- a/src/scheduling/group_commit.hpp
+++ b/src/scheduling/group_commit.hpp
@@ -1,5 +1,5 @@
-/// Group commit: writes units in as few transactions as the store's limits allow, and acts on what is
-/// committed. Owns the transaction that is in doubt, and what the store has refused of late.
+/// Group commit: combines write units into as few transactions as the store's limits allow, and applies the
+/// effects of committed units. Keeps the in-doubt transaction and the units that the store refused recently.
 #pragma once
 
 #include <map>
@@ -22,7 +22,7 @@
 
 namespace hatchwind::controller {
 
-/// What group commits read, and what they change.
+/// Dependencies of GroupCommit: read only if `const`, otherwise changed by it.
 struct GroupCommitContext {
     io::Loop& loop;
     const Settings& settings;
@@ -35,35 +35,36 @@
     CommandDispatcher& dispatcher;
 };
 
-/// Every transaction is conditional on the epoch: one of an earlier epoch can no longer be committed.
+/// Every transaction is conditional on the epoch, so a transaction of an earlier epoch can't be committed.
 class GroupCommit {
   public:
     explicit GroupCommit(const GroupCommitContext& context) : context_(context) {}
 
-    /// Writes the units in their order. False when a transaction was not committed: the pass must begin anew.
+    /// Commits the units in their order. Returns false if a transaction was not committed; the caller then
+    /// has to plan a new pass.
     io::Task<bool> write(std::vector<WriteUnit> units);
-    /// True while a transaction of this epoch got no answer: it may be committed at any later time. Until it
-    /// is, or is refuted, nothing else may be planned: a plan without it could start its tasks a second time,
-    /// or others beyond a team's limit.
+    /// Returns true while the outcome of a transaction of this epoch is unknown: it may be committed at any
+    /// later time. Nothing else may be planned until the outcome is known. A plan that ignores the
+    /// transaction could start its tasks a second time, or exceed a team's limit with other tasks.
     bool in_doubt();
-    /// Sends that transaction again. There must be one.
+    /// Sends the in-doubt transaction again. Precondition: in_doubt().
     io::Task<void> retry_in_doubt();
-    /// Erases a few pages whose chunks all belong to jobs that are over.
+    /// Deletes a few pages whose chunks all belong to finished jobs.
     io::Task<void> erase_unused_pages();
 
   private:
-    /// A group commit as it was sent.
+    /// A transaction and the units that it writes.
     struct Group {
         wire::Transaction transaction;
         std::vector<WriteUnit> units;
         core::Revision epoch() const { return transaction.conditions.front().mod_revision; }
-        /// Its writes that do not only take what is unused.
-        double pressing_writes() const;
+        /// Number of writes that are not restricted to the unused part of the write budget.
+        double urgent_writes() const;
     };
-    /// Whether a transaction without an answer, of which this is a copy, was sent before.
+    /// Whether a transaction is sent for the first time, or again because its outcome is unknown.
     enum class Sending : std::uint8_t { first, retry };
 
-    /// How many units from the front go into one transaction; at least one.
+    /// Returns how many of the first units fit into one transaction; at least one.
     std::size_t count_for_one_transaction(std::span<const WriteUnit> units) const;
     wire::Transaction transaction_of(std::span<const WriteUnit> units) const;
     io::Task<bool> send(Group group);
@@ -71,22 +72,24 @@
     void handle_committed(Group& group, core::Revision revision);
     void apply_committed(WriteUnit& unit, core::Revision revision);
     void dispatch_starts(const WriteUnit& unit, core::Revision epoch);
-    /// The store refuses what is over a limit that is lower than known. One unit too large must not delay
-    /// the others.
+    /// Handles a transaction that exceeds a limit of the store which is lower than the known one. Sends units
+    /// one by one for some time and pauses a unit that is refused alone, so that one unit that is too large
+    /// does not delay the others.
     void handle_refused(const Group& group);
     io::Task<void> handle_conflict(const Group& group, CommitResult result, Sending sending);
     io::Task<void> handle_no_commit(Group group, CommitOutcome outcome, Sending sending);
 
-    /// The ends of attempts may have been recorded by a copy of a transaction that got no answer.
+    /// Acknowledges exits whose ends were recorded by an earlier copy of an in-doubt transaction.
     void acknowledge_recorded_exits(const Group& group);
     void log_end(const std::string& job) const;
     bool is_unused(const core::AttemptPage& page) const;
 
     const GroupCommitContext context_;
     std::optional<Group> in_doubt_;
-    // Monotonic clock: until when units that the store refused by themselves are left out, by first key.
+    // Time until which a unit that the store refused is not sent, by the unit's first key; monotonic clock.
     std::map<std::string, io::Micros> refused_until_;
-    io::Micros single_units_until_{0};  // monotonic clock: until then each unit is sent by itself
+    // Time until which each unit is sent in a transaction of its own; monotonic clock.
+    io::Micros single_units_until_{0};
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/open_attempt.hpp
+++ b/src/scheduling/open_attempt.hpp
@@ -1,5 +1,5 @@
-/// An attempt as the modules of a shard's scheduling pass it on: by reference while its record stands, by
-/// value for what outlives the record.
+/// Attempts as passed between the scheduling modules: by reference while the attempt is recorded as open, by
+/// value where the attempt outlives its record.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace hatchwind::controller {
 
-/// An attempt that is recorded as open; a view, valid until the job table changes.
+/// Non-owning view of an attempt that is recorded as open. Valid until the job table changes.
 struct OpenAttempt {
     const core::JobEntry& entry;
     std::uint32_t task;
     const core::Attempt& attempt;
 
-    /// Id of its job.
+    /// Id of the attempt's job.
     const std::string& job() const { return entry.job.id; }
-    /// Number of the chunk that records it.
+    /// Number of the chunk that records the attempt.
     std::uint32_t chunk() const { return task / core::kChunkTasks; }
 };
 
-/// The same by value, for what outlives the job table's record.
+/// An attempt of a task, by value; independent of the job table.
 struct TaskAttempt {
     std::string job;
     std::uint32_t task = 0;
--- a/src/scheduling/page_assignment.cpp
+++ b/src/scheduling/page_assignment.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// A page is written and read whole on every controller for each change: larger ones save writes and cost
-// time. A controller with a whole core may read this much at the store's full rate of writes; a small one
-// with 14 KiB to each page spent its time on reading.
+// Every change rewrites a whole page, which every controller then reads: larger pages need fewer writes but
+// more processor time. A controller with a whole core can read this much at the store's maximum write rate.
+// With pages of 14 KiB, a small controller would spend its processor time on reading.
 constexpr double kReadBytesPerSecond = 2.4e6;
 constexpr std::size_t kMinPageBytes = std::size_t{5} * 1024;
-// Estimates of the JSON form. A page that outgrows the value limit all the same is split when it is written.
+// Estimated sizes in JSON form. A page that exceeds the value limit nevertheless is split when it is written.
 constexpr std::size_t kChunkBytes = 60;
-constexpr std::size_t kMachineBytes = 10;  // beside its name, for all of the chunk's attempts there
+constexpr std::size_t kMachineBytes = 10;  // without its name; once for all of the chunk's attempts on it
 constexpr std::size_t kAttemptBytes = 8;
 constexpr std::size_t kDoneRangeBytes = 10;
 
@@ -24,8 +24,9 @@
     return std::min(std::max(affordable, kMinPageBytes), settings.value_bytes());
 }
 
-// On how many machines that many tasks of the chunk may run, if they share machines as much as those that are
-// open now. Tasks that share a machine mostly follow each other.
+// Estimates the number of machines on which `tasks` tasks of the chunk will run, if they share machines to
+// the same degree as the chunk's open attempts. Counts changes of the machine between neighbouring tasks,
+// because tasks that share a machine mostly have consecutive numbers.
 std::size_t estimate_machines(const core::Chunk& chunk, std::size_t tasks) {
     if (chunk.open.empty()) return tasks;
     std::size_t machines = 0;
@@ -58,7 +59,7 @@
     }
 
   private:
-    // Chunks that have a page already: it is written whatever else goes there.
+    // Collects the staged chunks that already have a page. Those pages have to be written in any case.
     void collect_assigned(const StagedRecords& staged) {
         for (const auto& [key, record] : staged.chunks) {
             if (record.chunk.page == 0) continue;
@@ -75,8 +76,8 @@
         assigned_[page].push_back(key);
     }
 
-    // What the chunk may grow to. With the worst for each task, pages were half empty, and the store counts
-    // the pages that are written.
+    // Returns the size to which the chunk is expected to grow. Reserving the maximum for each task would
+    // leave pages half empty, and the write budget counts the pages that are written.
     std::size_t bytes_to_reserve(const core::JobEntry& entry, std::uint32_t chunk_number,
                                  const core::Chunk& chunk) const {
         const std::uint32_t first_task = chunk_number * core::kChunkTasks;
@@ -98,10 +99,10 @@
         return sum;
     }
 
-    // Pages that are written anyway first, then the emptiest, then a new one.
+    // Prefers a page that is written anyway, then the least full page, then a new one.
     core::AttemptPageKey choose_page(const std::string& team, std::size_t bytes) {
         if (const auto page = last_assigned(team, bytes)) return *page;
-        return emptiest_or_new(team, bytes);
+        return least_full_or_new(team, bytes);
     }
 
     std::optional<core::AttemptPageKey> last_assigned(const std::string& team, std::size_t bytes) {
@@ -112,24 +113,24 @@
         return last;
     }
 
-    core::AttemptPageKey emptiest_or_new(const std::string& team, std::size_t bytes) const {
-        std::optional<core::AttemptPageKey> emptiest;
+    core::AttemptPageKey least_full_or_new(const std::string& team, std::size_t bytes) const {
+        std::optional<core::AttemptPageKey> least_full;
         core::AttemptPageKey new_page{team, 1};
-        std::size_t least_bytes = capacity_bytes_;
+        std::size_t min_bytes = capacity_bytes_;
         for (const auto& [page, reserved] : reserved_bytes_) {
             if (page.team != team) continue;
             if (page.number == new_page.number) ++new_page.number;
-            if (reserved + bytes > least_bytes) continue;
-            least_bytes = reserved + bytes;
-            emptiest = page;
+            if (reserved + bytes > min_bytes) continue;
+            min_bytes = reserved + bytes;
+            least_full = page;
         }
-        return emptiest.value_or(new_page);
+        return least_full.value_or(new_page);
     }
 
     const core::JobTable& job_table_;
     std::size_t capacity_bytes_;
     std::size_t longest_machine_name_;
-    std::map<core::AttemptPageKey, std::size_t> reserved_bytes_;  // of the pages of this controller's teams
+    std::map<core::AttemptPageKey, std::size_t> reserved_bytes_;  // for pages of this controller's teams
     AssignedChunks assigned_;
 };
 
--- a/src/scheduling/page_assignment.hpp
+++ b/src/scheduling/page_assignment.hpp
@@ -1,5 +1,5 @@
-/// Decides which attempt page holds which chunk: bin packing, since the store limits writes and each write of
-/// a page counts the same however much it says. Pure but for the page numbers that it fills in.
+/// Assigns chunks to attempt pages by bin packing: the store limits the number of writes, and each write of a
+/// page counts the same regardless of its size. Stateless.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace hatchwind::controller {
 
-/// What the assignment reads.
+/// Input of assign_pages().
 struct PageAssignmentInput {
     const Settings& settings;
     const core::JobTable& job_table;
@@ -23,13 +23,13 @@
     const Leadership& leadership;
 };
 
-/// The staged chunks of each page that has to be written.
+/// Maps each page that has to be written to its staged chunks.
 using AssignedChunks = std::map<core::AttemptPageKey, std::vector<core::ChunkKey>>;
 
-/// Gives each staged chunk without a page one, and returns the pages to be written with their staged chunks.
-/// `ending_jobs`: ids of jobs whose chunks leave their pages. Each staged chunk's job must be in the job
-/// table. Pages stay below the size that this controller can afford to read, whatever their chunks may grow
-/// to.
+/// Sets the page number of each staged chunk that has none, and returns the pages to be written with their
+/// staged chunks. `ending_jobs` holds the ids of jobs whose chunks are removed from their pages. The job of
+/// each staged chunk must be in the job table. Reserves space for the expected growth of chunks, so that
+/// pages stay below the size that this controller has the processor time to read.
 AssignedChunks assign_pages(const PageAssignmentInput& input, StagedRecords& staged,
                             const std::set<std::string>& ending_jobs);
 
--- a/src/scheduling/placement_round.cpp
+++ b/src/scheduling/placement_round.cpp
@@ -10,17 +10,17 @@
 using io::Micros;
 
 namespace {
-constexpr std::size_t kStartsPerOperation = 8;  // of a transaction
-constexpr std::size_t kMachinesPerStop = 100;
-// A reservation is announced again once the peers know less than this of how long it lasts.
+constexpr std::size_t kStartsPerOperation = 8;  // per write of a transaction
+constexpr std::size_t kMachinesPerStop = 100;   // a pass may preempt one task per this many machines
+// A reservation is announced again when its expiry is this much later than the announced one.
 constexpr Micros kAnnounceInterval{3'000'000};
-constexpr Micros kStopTime{2'000'000};  // beside the grace period
+constexpr Micros kExpectedStopDuration{2'000'000};  // in addition to the grace period
 }  // namespace
 
 core::PlacementInput PlacementRound::gather_input(std::size_t max_records) const {
     core::PlacementInput input;
     input.most_records = max_records;
-    // A pass starts what one transaction records; more would delay what comes after it.
+    // A pass starts as many tasks as one transaction can record. More starts would delay subsequent writes.
     input.most_starts =
         std::max<std::size_t>(input.most_starts, context_.settings.txn_ops * kStartsPerOperation);
     const std::size_t machines = context_.workers.cluster_view().machines().size();
@@ -58,8 +58,9 @@
     input.reservations = reservations_;
     std::erase_if(preempting_until_, [&](const auto& task) { return task.second <= input.now; });
     for (const auto& [task, until] : preempting_until_) input.stopping.insert(task);
-    // Capacity that another shard owner is clearing: without this the victim's shard owner, which learns of
-    // the exit as soon as anyone, puts the task right back and is preempted again, over and over.
+    // Capacity that another shard owner frees by preemption. Without these reservations, the shard owner of
+    // the preempted task would place the task there again as soon as it has exited, and it would be preempted
+    // again, in an endless cycle.
     context_.peer_reservations.drop_settled(context_.replicated.job_table(), input.now);
     for (const auto& [task, reservation] : context_.peer_reservations.all())
         input.peer_reservations.push_back(reservation);
@@ -100,7 +101,7 @@
 void PlacementRound::announce(const std::map<core::TaskRef, core::Reservation>& reservations,
                               Micros monotonic_now) {
     for (const auto& [task, reservation] : reservations) {
-        // Announced again before it runs out on the peers' side.
+        // A reservation is announced again before it expires at the peers.
         Micros& announced_until = announced_until_[task];
         if (reservation.until - announced_until < kAnnounceInterval) continue;
         announced_until = reservation.until;
@@ -116,7 +117,7 @@
     for (const auto& stop : stops) {
         spdlog::debug("event=preempt job={} task={} machine={}", stop.job, stop.task, stop.attempt.machine);
         preempting_until_[{stop.job, stop.task}] =
-            monotonic_now + kStopTime + core::from_seconds(stop.grace_s);
+            monotonic_now + kExpectedStopDuration + core::from_seconds(stop.grace_s);
         context_.dispatcher.preempt(stop);
     }
 }
--- a/src/scheduling/placement_round.hpp
+++ b/src/scheduling/placement_round.hpp
@@ -1,6 +1,6 @@
-/// One placement pass of a shard: gathers its input, announces capacity reservations to the peers, stages
-/// starts and sends preemptions. Owns the reservations of this controller; the decisions are
-/// `core/placement`'s.
+/// One placement pass of a shard: gathers the input of placement, announces capacity reservations to the
+/// peers, stages starts and sends preemptions. Keeps the reservations of this controller. The placement
+/// decisions are made in `core/placement`.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
 
 namespace hatchwind::controller {
 
-/// What placement reads, and what it changes.
+/// Dependencies of PlacementRound: read only if `const`, otherwise changed by it.
 struct PlacementContext {
     const Settings& settings;
     const std::optional<core::Catalog>& catalog;
@@ -38,21 +38,22 @@
     const StartHolds& holds;
 };
 
-/// Starts are staged only: they are sent after their commit. Preemptions are sent at once.
+/// Starts are only staged; they are sent after they have been committed. Preemptions are sent immediately.
 class PlacementRound {
   public:
     explicit PlacementRound(const PlacementContext& context) : context_(context) {}
 
-    /// Places what waits. The catalog must be known. `max_records`: store records that the starts may touch.
-    /// Returns how many jobs were left for another pass.
+    /// Places tasks that wait to be started. The catalog must be known. The starts change at most
+    /// `max_records` records of the store. Returns the number of jobs that were left to another pass.
     std::size_t run(StagedRecords& staged, std::size_t max_records);
-    /// Drops the reservations that an earlier epoch made.
+    /// Drops the reservations made in an earlier epoch.
     void start_epoch() { reservations_.clear(); }
 
   private:
     core::PlacementInput gather_input(std::size_t max_records) const;
     bool anything_to_start(const core::PlacementInput& input) const;
-    /// Jobs that failed lately, or whose starts are held.
+    /// Returns for each job that failed recently, or whose starts are held, the time until which it is not
+    /// started; monotonic clock.
     std::map<std::string, io::Micros> job_backoff() const;
     void add_reservations(core::PlacementInput& input);
     core::FreeCapacity free_capacity(io::Micros monotonic_now);
@@ -62,9 +63,11 @@
 
     const PlacementContext context_;
     std::map<core::TaskRef, core::Reservation> reservations_;
-    // Both monotonic clock.
-    std::map<core::TaskRef, io::Micros> announced_until_;   // until when the peers know of a reservation
-    std::map<core::TaskRef, io::Micros> preempting_until_;  // until when a preempted task may take to stop
+    // Monotonic clock, both.
+    std::map<core::TaskRef, io::Micros>
+        announced_until_;  // expiry of a reservation as announced to the peers
+    std::map<core::TaskRef, io::Micros>
+        preempting_until_;  // time by which a preempted task should have stopped
 };
 
 }  // namespace hatchwind::controller
--- a/src/scheduling/shard_scheduler.cpp
+++ b/src/scheduling/shard_scheduler.cpp
@@ -13,16 +13,17 @@
 
 namespace {
 constexpr Micros kIdleInterval{400'000};
-// A pass that takes long on this machine leaves the time of four more to heartbeats, users and renewals.
-constexpr int kPauseInPasses = 4;
-constexpr Micros kMaxPassCounted{1'000'000};
+// The pause before a pass is at least this multiple of the last pass's duration, which leaves processor time
+// to heartbeats, user requests and lease renewals.
+constexpr int kPauseToPassRatio = 4;
+constexpr Micros kMaxCountedPassDuration{1'000'000};
 constexpr Micros kEraseInterval{3'000'000};
-constexpr double kMinSpareWritesToErase = 4;
-constexpr double kChunksPerPage = 4;  // about so many are written together
+constexpr double kMinUnusedWritesToErase = 4;
+constexpr double kChunksPerPage = 4;  // approximate number of chunks per page write
 constexpr double kBudgetSpanSeconds = 0.5;
-constexpr double kMinWrites = 6.0;  // enough for one record of each sort
+constexpr double kMinWrites = 6.0;  // enough for one record of each kind
 constexpr std::size_t kWritesPerFinish = 2;
-constexpr double kCompletionShare = 0.5;  // of the spare writes, for units of the last ranks
+constexpr double kCompletionShare = 0.5;  // fraction of the unused writes, for `completion` and lower ranks
 }  // namespace
 
 ShardScheduler::ShardScheduler(const SchedulingContext& context)
@@ -41,30 +42,32 @@
 Task<void> ShardScheduler::run() {
     while (true) {
         co_await context_.signals.scheduling_needed.wait(steady_now() + kIdleInterval);
-        // Changes close to each other share one pass and one group commit.
-        co_await context_.loop.sleep(std::max(context_.tunables.pass_gap, kPauseInPasses * last_pass_took_));
+        // Changes in quick succession are handled by one pass and one group commit.
+        co_await context_.loop.sleep(
+            std::max(context_.tunables.pass_gap, kPauseToPassRatio * last_pass_duration_));
         if (!context_.leadership.holds_leadership() || !context_.catalog) continue;
         start_epoch();
         auto whole_pass = pass();
         co_await std::move(whole_pass);
         dispatcher_.acknowledge_exits();
-        if (dispatcher_.reconcile_orphans()) failure_backoff_.forget_gone();
+        if (dispatcher_.reconcile_orphans()) failure_backoff_.remove_obsolete();
         auto erasure = erase_unused_pages();
         co_await std::move(erasure);
     }
 }
 
 void ShardScheduler::start_epoch() {
-    if (epoch_seen_ == context_.replicated.epoch().number) return;
-    epoch_seen_ = context_.replicated.epoch().number;
+    if (last_seen_epoch_ == context_.replicated.epoch().number) return;
+    last_seen_epoch_ = context_.replicated.epoch().number;
     dispatcher_.start_epoch();
     placement_.start_epoch();
     page_writer_.start_epoch();
     reconciler_.start_epoch();
 }
 
-// Nothing new is placed in an outage, nor from a replica that may lack this controller's own records: what
-// they use would be placed once more (UserAnswers.AnOwnerPlansNothingFromACopyThatLacksItsOwnRecords).
+// Nothing is placed in an outage of the store, or from a replica that may lack this controller's own records:
+// the capacity that those records use would be allocated a second time
+// (UserAnswers.AnOwnerPlansNothingFromACopyThatLacksItsOwnRecords).
 bool ShardScheduler::may_place() const {
     return context_.store.reachable(steady_now()) && context_.replica.has_own_commits();
 }
@@ -75,7 +78,7 @@
     reconciler_.reconcile(staged);
     const bool in_doubt = commit_.in_doubt();
     if (in_doubt || !may_place()) {
-        last_pass_took_ = steady_now() - began;
+        last_pass_duration_ = steady_now() - began;
         if (!in_doubt) co_return;
         auto retry = retry_in_doubt();
         co_await std::move(retry);
@@ -83,16 +86,16 @@
     }
     PlannedWrites writes = plan_writes(staged);
     context_.store.set_backlog(writes.left_out + static_cast<double>(writes.deferred_jobs));
-    last_pass_took_ = std::min(steady_now() - began, kMaxPassCounted);
+    last_pass_duration_ = std::min(steady_now() - began, kMaxCountedPassDuration);
     spdlog::debug(
         "event=scheduling_pass took_us={} units={} writes={} left_out={} deferred={} spare={:.1f} "
         "rate={:.1f}",
-        last_pass_took_.count(), writes.units.size(), writes.count, writes.left_out, writes.deferred_jobs,
-        writes.spare, context_.store.write_rate());
+        last_pass_duration_.count(), writes.units.size(), writes.count, writes.left_out, writes.deferred_jobs,
+        writes.unused, context_.store.write_rate());
     if (writes.units.empty()) co_return;
     auto writing = commit_.write(std::move(writes.units));
     const bool committed = co_await std::move(writing);
-    // The free capacity of the pass is used up by then: another pass sees what is left to do.
+    // The free capacity computed in this pass is outdated after the commit: another pass handles the rest.
     if (committed) context_.signals.scheduling_needed.notify_all();
 }
 
@@ -103,16 +106,16 @@
     context_.signals.scheduling_needed.notify_all();
 }
 
-// Most of what a shard owner has to write can wait. Were it to use the budget ahead, each start after it
-// would wait until that is paid.
+// Most writes of a shard owner can wait. If they used budget ahead of time, each later start would have to
+// wait until the budget has recovered.
 double ShardScheduler::WriteBudget::limit(WriteRank rank) const {
-    if (rank >= WriteRank::completion) return spare * kCompletionShare;
-    return rank == WriteRank::due_completion ? spare : affordable;
+    if (rank >= WriteRank::completion) return unused * kCompletionShare;
+    return rank == WriteRank::due_completion ? unused : affordable;
 }
 
 ShardScheduler::WriteBudget ShardScheduler::write_budget() {
-    const double spare = std::max(0.0, context_.store.spare_writes());
-    return {spare, std::max(kMinWrites, spare + context_.store.write_rate() * kBudgetSpanSeconds)};
+    const double unused = std::max(0.0, context_.store.spare_writes());
+    return {unused, std::max(kMinWrites, unused + context_.store.write_rate() * kBudgetSpanSeconds)};
 }
 
 ShardScheduler::PlannedWrites ShardScheduler::plan_writes(StagedRecords& staged) {
@@ -120,7 +123,7 @@
     const auto finish_writes = static_cast<double>(staged.finished_jobs.size() * kWritesPerFinish);
     const double max_records = std::max(kMinWrites, kChunksPerPage * (budget.affordable - finish_writes));
     PlannedWrites writes;
-    writes.spare = budget.spare;
+    writes.unused = budget.unused;
     writes.deferred_jobs = placement_.run(staged, static_cast<std::size_t>(max_records));
     writes.units = page_writer_.write_units(staged, steady_now());
     keep_affordable(writes, budget);
@@ -134,7 +137,8 @@
         if (fits) {
             writes.count += wanted;
         } else if (unit.rank <= WriteRank::overdue_completion) {
-            // What waits for company by itself is no demand: counted, it took from others what was not used.
+            // Writes of lower ranks are delayed on purpose and are not reported as backlog. If they were,
+            // they would take a share of the write budget from other controllers without using it.
             writes.left_out += wanted;
         }
         return !fits;
@@ -143,7 +147,7 @@
 
 Task<void> ShardScheduler::erase_unused_pages() {
     if (steady_now() - last_erasure_ < kEraseInterval || !context_.leadership.holds_leadership()) co_return;
-    if (context_.store.spare_writes() < kMinSpareWritesToErase) co_return;
+    if (context_.store.spare_writes() < kMinUnusedWritesToErase) co_return;
     last_erasure_ = steady_now();
     auto erasure = commit_.erase_unused_pages();
     co_await std::move(erasure);
--- a/src/scheduling/shard_scheduler.hpp
+++ b/src/scheduling/shard_scheduler.hpp
@@ -1,5 +1,5 @@
-/// What a shard owner does for its teams: reconciles attempts, places tasks, and records both ahead of every
-/// command. This is the loop; it owns the pace and the steps, which are modules of their own.
+/// The scheduling loop of a shard owner for its teams: reconciles attempts, places tasks, and records both
+/// before any command is sent. Each step is a separate module; this one controls their order and timing.
 #pragma once
 
 #include <optional>
@@ -22,7 +22,7 @@
 
 namespace hatchwind::controller {
 
-/// What the scheduling of a shard reads (`const`), and what it changes. All of it outlives the scheduler.
+/// Dependencies of ShardScheduler: read only if `const`, otherwise changed by it. All must outlive it.
 struct SchedulingContext {
     io::Loop& loop;
     const Settings& settings;
@@ -42,37 +42,37 @@
     ChangeSignals& signals;
 };
 
-/// Acts only while this controller holds its leadership lease, and anew in each epoch.
+/// Acts only while this controller holds its leadership lease. Resets its state at the start of each epoch.
 class ShardScheduler {
   public:
     explicit ShardScheduler(const SchedulingContext& context);
-    /// Runs for as long as the controller lives.
+    /// Runs until the controller shuts down.
     io::Task<void> run();
 
   private:
-    /// Writes that the store's budget bears now.
+    /// Number of writes available in the store's write budget.
     struct WriteBudget {
-        double spare = 0;       // unused so far
-        double affordable = 0;  // within half a second
-        /// How many writes a pass may plan up to and including a unit of that rank.
+        double unused = 0;      // currently unused
+        double affordable = 0;  // unused, plus the budget of the next half second
+        /// Returns the maximum number of writes in a pass, up to and including a unit of `rank`.
         double limit(WriteRank rank) const;
     };
     struct PlannedWrites {
         std::vector<WriteUnit> units;
         double count = 0;
-        double left_out = 0;            // writes, for want of budget
-        std::size_t deferred_jobs = 0;  // left for another pass
-        double spare = 0;               // as in the budget
+        double left_out = 0;            // writes that exceed the budget
+        std::size_t deferred_jobs = 0;  // jobs left to another pass
+        double unused = 0;              // same as in WriteBudget
     };
 
     void start_epoch();
-    /// Reconciles, places and commits.
+    /// Runs one scheduling pass: reconciles attempts, places tasks and commits the results.
     io::Task<void> pass();
-    /// False in an outage, and while the replica may lack this controller's own records.
+    /// Returns false in an outage of the store, and while the replica may lack this controller's own records.
     bool may_place() const;
     io::Task<void> retry_in_doubt();
     WriteBudget write_budget();
-    /// Places, and picks the units that the budget bears.
+    /// Places tasks, and selects the write units that fit into the budget.
     PlannedWrites plan_writes(StagedRecords& staged);
     static void keep_affordable(PlannedWrites& writes, const WriteBudget& budget);
     io::Task<void> erase_unused_pages();
@@ -84,8 +84,8 @@
     PlacementRound placement_;
     AttemptPageWriter page_writer_;
     GroupCommit commit_;
-    io::Micros last_pass_took_{0};
-    std::uint64_t epoch_seen_ = 0;
+    io::Micros last_pass_duration_{0};
+    std::uint64_t last_seen_epoch_ = 0;
     io::Micros last_erasure_{0};  // monotonic clock
 };
 
--- a/src/scheduling/staged_records.hpp
+++ b/src/scheduling/staged_records.hpp
@@ -1,5 +1,5 @@
-/// What one scheduling pass wants to have recorded: chunks as they will be, and jobs that are over. Nothing
-/// of it is true before its commit.
+/// Records that one scheduling pass intends to write: changed chunks and finished jobs. They take effect only
+/// when they are committed.
 #pragma once
 
 #include <map>
@@ -11,13 +11,13 @@
 
 namespace hatchwind::controller {
 
-/// What the end of an attempt means for its task.
+/// Outcome of a task when one of its attempts has ended.
 enum class TaskOutcome : std::uint8_t {
     done,
     unfinished,  ///< the task has to start again, unless its job is cancelled
 };
 
-/// A chunk as it will be, and what made it so.
+/// The new state of a chunk, and the attempts that were closed and started to reach it.
 struct ChunkRecord {
     core::Chunk chunk;
     std::vector<TaskAttempt> closed;
@@ -25,16 +25,16 @@
     bool blocks_restart = false;  ///< a task can start again only once this is recorded
 };
 
-/// Filled by the steps of one pass, in the order reconcile, place; then written in units.
+/// Filled during one pass, first by reconciliation and then by placement; written as write units.
 struct StagedRecords {
     std::map<core::ChunkKey, ChunkRecord> chunks;
     std::vector<std::string> finished_jobs;  ///< ids
 
-    /// The chunk's record, begun from what the job table has.
+    /// Returns the staged record of a chunk. If there is none yet, creates it from the job table's state.
     ChunkRecord& stage(const core::JobEntry& entry, std::uint32_t chunk_number);
-    /// Ends the attempt.
+    /// Stages the end of an attempt.
     void close(const OpenAttempt& open, TaskOutcome outcome);
-    /// Records an attempt ahead of its start command.
+    /// Stages the record of an attempt. Its start command is sent after the commit.
     void start(const core::JobEntry& entry, const core::Start& start);
 };
 
--- a/src/scheduling/write_unit.hpp
+++ b/src/scheduling/write_unit.hpp
@@ -1,4 +1,4 @@
-/// A part of a group commit: writes that belong together, what they depend on and what follows from them.
+/// A part of a group commit: writes that are committed atomically, their conditions, and their effects.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,36 @@
 
 namespace hatchwind::controller {
 
-/// In which order units are written while the write budget is short: lower goes first.
+/// Order in which units are written while the write budget is short. Lower values are written first.
 enum class WriteRank : std::uint8_t {
     production,
-    urgent,  ///< a task waits for it to start again, or a job is over
+    urgent,  ///< a task can start again only after this write, or a job has finished
     start,
     overdue_completion,
-    due_completion,  ///< takes writes that are unused
-    completion,      ///< takes writes that would otherwise go to waste
+    due_completion,  ///< may use only the unused part of the write budget
+    completion,      ///< may use only a fraction of the unused part of the write budget
     lowest,
 };
 
-/// The end of a job.
+/// A finished job and its final state.
 struct JobEnd {
     std::string job;
     FinalState state;
 };
 
-/// What is written together or not at all.
+/// Writes that are committed atomically, with their conditions and effects.
 struct WriteUnit {
     WriteRank rank = WriteRank::production;
     std::vector<core::ChunkKey> chunks;
     std::vector<wire::Condition> conditions;
-    std::vector<wire::StoreItem> replicated_writes;  ///< part of the replica once they are committed
-    std::vector<wire::StoreItem> other_writes;       ///< of records outside the replica
+    std::vector<wire::StoreItem> replicated_writes;  ///< applied to the replica once committed
+    std::vector<wire::StoreItem> other_writes;       ///< to records that are not in the replica
     std::vector<JobEnd> job_ends;
     std::vector<TaskAttempt> closed;
     std::vector<TaskAttempt> started;
-    std::size_t estimated_bytes = 0;  ///< of the JSON form
+    std::size_t estimated_bytes = 0;  ///< in JSON form
 
-    /// Writes of a transaction that it takes.
+    /// Number of writes that the unit adds to a transaction.
     std::size_t write_count() const { return replicated_writes.size() + other_writes.size(); }
 };
 
