--- a/tests/attempt_pages_test.cpp
+++ b/tests/attempt_pages_test.cpp
@@ -1,4 +1,4 @@
-// How attempts share pages, and which pages are written when the budget is short.
+// Assignment of chunks to attempt pages, and the rank of page writes when the write budget is short.
 #include <gtest/gtest.h>
 
 #include "scheduling/attempt_page_writer.hpp"
@@ -45,7 +45,7 @@
     }
     static std::string name(int number) { return "req-" + std::to_string(100 + number); }
 
-    // All tasks of the job, on as few machines as they need.
+    // Stages the starts of all tasks of the jobs, on as few machines as possible.
     controller::StagedRecords starts(const std::vector<int>& jobs) const {
         controller::StagedRecords staged;
         for (const int job : jobs) {
@@ -65,14 +65,14 @@
         record_page(job, chunk);
     }
 
-    // The first page of the team, with nothing but that chunk of the job.
+    // Records the first page of the team with only the given chunk of the job.
     void record_page(int job, const core::Chunk& chunk) {
         state_.replicated.apply({controller::keys::page({"x", 1}),
                                  wire::page_record({{core::ChunkKey{name(job), 0}, &chunk}}),
                                  ++mod_revision_});
     }
 
-    // How urgent it is to record that the task is done.
+    // Returns the rank of the write that records the task as done.
     WriteRank rank_of_completion(int job, std::uint32_t task, Micros now) {
         const core::JobEntry& entry = *state_.replicated.job_table().find(name(job));
         controller::StagedRecords staged;
@@ -98,7 +98,7 @@
     const auto pages = controller::assign_pages(
         {state_.settings, state_.replicated.job_table(), state_.workers.cluster_view(), state_.leadership},
         staged, {});
-    // With the worst for each task, each of these jobs took a page of its own.
+    // If the maximum size were reserved for each task, each of these jobs would need a page of its own.
     EXPECT_LE(pages.size(), 2U);
     for (const auto& [page, chunks] : pages) {
         controller::PageContent content;
@@ -115,7 +115,8 @@
     EXPECT_EQ(rank_of_completion(0, 0, Micros{17'000'000}), WriteRank::overdue_completion);
 }
 
-// What is recorded counts against the limit: the team's next start waits for it.
+// A completed task counts against its team's limit until its completion is recorded, which delays the team's
+// next start.
 TEST_F(AttemptPages, CompletionsOfATeamNearItsLimitAreOverdueSooner) {
     accept(0, 900);
     core::Chunk chunk;
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -1,6 +1,5 @@
-// Two faults at once: a leader crashes, machines are unreachable, commands and heartbeats are late, the store
-// is slow. Each test brings about one such combination; docs/reliability-owners.md says what each of them
-// guards.
+// Combinations of two faults, such as a leader crash, unreachable machines, late commands and heartbeats, or
+// a slow store. Each test covers one combination; docs/reliability-owners.md lists what each test guards.
 #include <algorithm>
 
 #include "core/failure_detection.hpp"
@@ -15,105 +14,107 @@
 using test::Site;
 using wire::Json;
 
-// Records one attempt in the job table, and lists it as running on the machine.
-void run_on(test::Cluster& c, core::WorkerHeartbeat& machine, const core::Job& job,
+// Records one attempt of the job in the job table, and lists it as running in the machine's heartbeat.
+void run_on(test::Cluster& cluster, core::WorkerHeartbeat& machine, const core::Job& job,
             core::Revision mod_revision) {
-    c.job_table.put_job(job, mod_revision);
+    cluster.job_table.put_job(job, mod_revision);
     core::Chunk chunk;
     chunk.mod_revision = mod_revision;
     chunk.open[0] = {1, machine.machine, machine.incarnation};
     chunk.last_attempt = 1;
-    c.job_table.put_chunk(job.id, 0, chunk);
+    cluster.job_table.put_chunk(job.id, 0, chunk);
     machine.tasks.push_back(test::task_status(job.id, 0, 1, core::TaskState::running));
 }
 
-// A task is preempted for another. Until its worker reports its exit it counts against its team's
-// limit: it may be saving, its machine may hang, the command may be late.
+// A preempted task counts against its team's limit until its worker reports its exit: it may be writing a
+// checkpoint, its machine may hang, or the stop command may be late.
 TEST(Quota, APreemptedTaskCountsUntilItHasExited) {
-    test::Cluster c;
-    c.teams["x"] = {"x", 4, 8, 0, 0};
-    c.teams["y"] = {"y", 8, 24, 0, 0};
+    test::Cluster cluster;
+    cluster.teams["x"] = {"x", 4, 8, 0, 0};
+    cluster.teams["y"] = {"y", 8, 24, 0, 0};
     auto wide = test::heartbeat("n-1", "small", "a");
     auto narrow = test::heartbeat("n-2", "small", "a");
-    // x is at its limit of 8 CPUs, beyond its guarantee, and fills one machine with a task of 4.
+    // Team x is at its limit of 8 CPUs, above its guarantee, and fills one machine with a task of 4 CPUs.
     auto victim = test::job("req-1", "x", 1, 4);
     victim.priority = core::Priority::best_effort;
-    run_on(c, wide, victim, 1);
+    run_on(cluster, wide, victim, 1);
     auto other = test::job("req-2", "x", 1, 4);
     other.priority = core::Priority::production;
     auto elsewhere = test::heartbeat("n-3", "small", "a");
-    run_on(c, elsewhere, other, 2);
+    run_on(cluster, elsewhere, other, 2);
     // One CPU is free on the second machine.
     auto filler = test::job("req-3", "y", 1, 3);
     filler.priority = core::Priority::production;
-    run_on(c, narrow, filler, 3);
-    for (const auto& r : {wide, narrow, elsewhere}) c.cluster_view.apply(r, c.now, c.now);
-    // y wants a whole machine; x has a small task waiting, which fits into what is free.
+    run_on(cluster, narrow, filler, 3);
+    for (const auto& r : {wide, narrow, elsewhere}) cluster.cluster_view.apply(r, cluster.now, cluster.now);
+    // Team y needs a whole machine. Team x has a small waiting task, which fits into the free capacity.
     auto urgent = test::job("req-4", "y", 1, 4);
     urgent.kind = core::JobKind::service;
     urgent.priority = core::Priority::high;
-    c.job_table.put_job(urgent, 4);
+    cluster.job_table.put_job(urgent, 4);
     auto small = test::job("req-5", "x", 1, 1);
     small.priority = core::Priority::normal;
-    c.job_table.put_job(small, 5);
+    cluster.job_table.put_job(small, 5);
 
-    core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(test::placement_input(c), capacity);
-    ASSERT_EQ(out.stops.size(), 1U);
-    EXPECT_EQ(out.stops[0].job, "req-1");
-    core::Resources use = c.job_table.team_use("x");
-    for (const auto& s : out.starts) {
-        if (c.job_table.find(s.job)->job.team == "x") use += c.job_table.find(s.job)->job.resources;
+    core::FreeCapacity capacity = cluster.free_capacity();
+    const auto result = core::place(test::placement_input(cluster), capacity);
+    ASSERT_EQ(result.stops.size(), 1U);
+    EXPECT_EQ(result.stops[0].job, "req-1");
+    core::Resources use = cluster.job_table.team_use("x");
+    for (const auto& start : result.starts) {
+        if (cluster.job_table.find(start.job)->job.team == "x")
+            use += cluster.job_table.find(start.job)->job.resources;
     }
     EXPECT_LE(use.cpus, 8 + core::kResourceTolerance) << "the stopped task is on its machine still";
 }
 
-// The end of an attempt is recorded, and its worker still lists it: the acknowledgement of its exit is lost
-// with a shard owner that crashed, or has to wait because a duplicate of the start is under way. On a fleet
-// with one machine that fits, the task waited for that acknowledgement for ever.
+// The end of an attempt is recorded, but its worker still lists it: the acknowledgement of its exit was lost
+// when a shard owner crashed, or is delayed because a duplicate of the start command is under way. If the new
+// attempt had to wait for that acknowledgement, it would wait forever in a fleet with one suitable machine.
 TEST(Placement, AnExitedAttemptThatIsStillListedBlocksNoNewAttempt) {
-    test::Cluster c;
-    c.teams["x"] = {"x", 8, 24, 0, 0};
+    test::Cluster cluster;
+    cluster.teams["x"] = {"x", 8, 24, 0, 0};
     auto machine = test::heartbeat("n-1", "small", "a");
     machine.tasks.push_back(test::task_status("req-1", 0, 1, core::TaskState::exited));
-    c.cluster_view.apply(machine, c.now, c.now);
-    c.job_table.put_job(test::job("req-1", "x", 1, 2), 1);
+    cluster.cluster_view.apply(machine, cluster.now, cluster.now);
+    cluster.job_table.put_job(test::job("req-1", "x", 1, 2), 1);
     core::Chunk chunk;
     chunk.mod_revision = 2;
     chunk.last_attempt = 1;
-    c.job_table.put_chunk("req-1", 0, chunk);
-    core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(test::placement_input(c), capacity);
-    ASSERT_EQ(out.starts.size(), 1U);
-    EXPECT_EQ(out.starts[0].attempt.number, 2U);
+    cluster.job_table.put_chunk("req-1", 0, chunk);
+    core::FreeCapacity capacity = cluster.free_capacity();
+    const auto result = core::place(test::placement_input(cluster), capacity);
+    ASSERT_EQ(result.starts.size(), 1U);
+    EXPECT_EQ(result.starts[0].attempt.number, 2U);
 
-    // One that runs there without a record would make the worker refuse the new one.
+    // The worker would refuse the new attempt while an attempt without a record is still running.
     machine.tasks[0].state = core::TaskState::running;
     ++machine.heartbeat_sequence;
-    c.cluster_view.apply(machine, c.now, c.now);
-    core::FreeCapacity again = c.free_capacity();
-    EXPECT_TRUE(core::place(test::placement_input(c), again).starts.empty());
+    cluster.cluster_view.apply(machine, cluster.now, cluster.now);
+    core::FreeCapacity again = cluster.free_capacity();
+    EXPECT_TRUE(core::place(test::placement_input(cluster), again).starts.empty());
 }
 
-// An overdue job keeps its team's later jobs from what the limit leaves, so that it begins at last. Where the
-// team's services alone keep it out it never begins, and the others waited with it.
+// The rest of a team's limit is reserved for its overdue job, so that later jobs do not delay it forever. If
+// the team's services alone prevent the job from starting, the reservation must not block the other jobs,
+// because they would never start.
 TEST(Placement, AJobThatItsTeamsServicesKeepOutBlocksNoOtherJob) {
-    test::Cluster c;
-    c.teams["x"] = {"x", 8, 8, 0, 0};
+    test::Cluster cluster;
+    cluster.teams["x"] = {"x", 8, 8, 0, 0};
     auto machine = test::heartbeat("n-1", "big", "a");
     auto service = test::job("req-1", "x", 1, 6);
     service.kind = core::JobKind::service;
-    run_on(c, machine, service, 1);
-    c.cluster_view.apply(machine, c.now, c.now);
-    c.now += core::kBeginWithin * 2;
+    run_on(cluster, machine, service, 1);
+    cluster.cluster_view.apply(machine, cluster.now, cluster.now);
+    cluster.now += core::kBeginWithin * 2;
     ++machine.heartbeat_sequence;
-    c.cluster_view.apply(machine, c.now, c.now);
-    c.job_table.put_job(test::job("req-2", "x", 1, 4), 2);
-    c.job_table.put_job(test::job("req-3", "x", 1, 1), 3);
-    core::FreeCapacity capacity = c.free_capacity();
-    const auto out = core::place(test::placement_input(c), capacity);
-    ASSERT_EQ(out.starts.size(), 1U);
-    EXPECT_EQ(out.starts[0].job, "req-3");
+    cluster.cluster_view.apply(machine, cluster.now, cluster.now);
+    cluster.job_table.put_job(test::job("req-2", "x", 1, 4), 2);
+    cluster.job_table.put_job(test::job("req-3", "x", 1, 1), 3);
+    core::FreeCapacity capacity = cluster.free_capacity();
+    const auto result = core::place(test::placement_input(cluster), capacity);
+    ASSERT_EQ(result.starts.size(), 1U);
+    EXPECT_EQ(result.starts[0].job, "req-3");
 }
 
 Json submission(const std::string& id, const std::string& team, const std::string& form, int tasks,
@@ -125,420 +126,428 @@
             {"stashS", 0.0}};
 }
 
-// Workers and controllers with leases of that length.
-void set_lease(Site& s, double seconds) {
-    s.world.lease_s = seconds;
-    for (std::size_t i = 0; i < s.labels().size(); ++i) {
-        s.kill(i);
-        s.start(i);
+// Sets the lease duration and restarts the controllers.
+void set_lease(Site& site, double seconds) {
+    site.world.lease_s = seconds;
+    for (std::size_t i = 0; i < site.labels().size(); ++i) {
+        site.kill(i);
+        site.start(i);
     }
 }
 
-Task<void> submit(Site& s, std::string id, std::string team, std::string form, int tasks, double cores) {
-    auto task = s.insist("POST", "/api/jobs", submission(id, team, form, tasks, cores), {200, 201});
+Task<void> submit(Site& site, std::string id, std::string team, std::string form, int tasks, double cores) {
+    auto task = site.insist("POST", "/api/jobs", submission(id, team, form, tasks, cores), {200, 201});
     co_await std::move(task);
 }
 
-Task<void> cancel(Site& s, std::string id) {
-    auto task = s.insist("POST", "/api/jobs/" + id + "/cancel", nullptr, {200});
+Task<void> cancel(Site& site, std::string id) {
+    auto task = site.insist("POST", "/api/jobs/" + id + "/cancel", nullptr, {200});
     co_await std::move(task);
 }
 
-Task<void> until(Site& s, std::function<bool()> reached) {
-    auto waiting = s.until(std::move(reached));
+Task<void> until(Site& site, std::function<bool()> reached) {
+    auto waiting = site.until(std::move(reached));
     co_await std::move(waiting);
 }
 
-bool lists(Site& s, const std::string& name) {
-    return std::any_of(s.cloud.workers.begin(), s.cloud.workers.end(), [&](const auto& w) {
-        return w.second->last_report.dump().find("\"" + name + "\"") != std::string::npos;
+bool any_worker_lists(Site& site, const std::string& name) {
+    return std::any_of(site.cloud.workers.begin(), site.cloud.workers.end(), [&](const auto& worker) {
+        return worker.second->last_report.dump().find("\"" + name + "\"") != std::string::npos;
     });
 }
 
-std::string leader_but(Site& s, const std::string& old) {
-    const std::string now = s.leader();
-    return now == old ? "" : now;
+std::string leader_other_than(Site& site, const std::string& old_leader) {
+    const std::string now = site.leader();
+    return now == old_leader ? "" : now;
 }
 
-// The replica is reloaded, and while the pages are under way the shard owner records the end of an attempt
-// and acknowledges its exit. The pages still call it open, its worker does not list it any more: it was
-// started again.
+// While the replica is reloaded, the shard owner records the end of an attempt and acknowledges its exit. The
+// pages that arrive afterwards still show the attempt as open, and its worker no longer lists it. It must not
+// be taken for an attempt whose start command was lost, and started again.
 TEST(ReplicaReload, AnAttemptThatEndsDuringItIsNotStartedAgain) {
-    Site site{1};
-    site.world.run_time = Micros{500'000};
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{1};
+    test_site.world.run_time = Micros{500'000};
+    test_site.play([](Site& site) -> Task<void> {
         {
-            auto step = submit(s, "req-1", "x", "sweep", 1, 1);
+            auto step = submit(site, "req-1", "x", "sweep", 1, 1);
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.world.running.size() == 1; });
+            auto step = until(site, [&site] { return site.world.running.size() == 1; });
             co_await std::move(step);
         }
-        // The changes since are not kept any more, and the pages arrive as old as the attempt is young.
-        s.state.list_latency = Micros{1'700'000};
-        s.state.oldest = s.state.revision + 1;
+        // The store no longer keeps the changes that the watch needs, which forces a reload. The pages arrive
+        // so late that they predate the end of the attempt.
+        site.state.list_latency = Micros{1'700'000};
+        site.state.oldest = site.state.revision + 1;
         {
-            auto step = s.submit("req-2", "z", "sweep", 1);  // a change, so that the watch is opened anew
+            auto step = site.submit("req-2", "z", "sweep", 1);  // a change, so that the watch is reopened
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.state.items.contains("f/req-1") && !lists(s, "req-1/0"); });
+            auto step = until(site, [&site] {
+                return site.state.items.contains("f/req-1") && !any_worker_lists(site, "req-1/0");
+            });
             co_await std::move(step);
         }
-        s.state.list_latency = Micros{0};
-        s.state.hold_watches = true;  // what the pages lack is late too
-        co_await s.loop.sleep(Micros{2'000'000});
-        s.state.hold_watches = false;
-        co_await s.loop.sleep(Micros{700'000});
-        EXPECT_EQ(s.world.started["req-1/0"], 1);
-        EXPECT_EQ(s.world.completed["req-1/0"], 1);
+        site.state.list_latency = Micros{0};
+        site.state.hold_watches = true;  // the changes that the pages lack are delayed, too
+        co_await site.loop.sleep(Micros{2'000'000});
+        site.state.hold_watches = false;
+        co_await site.loop.sleep(Micros{700'000});
+        EXPECT_EQ(site.world.started["req-1/0"], 1);
+        EXPECT_EQ(site.world.completed["req-1/0"], 1);
     });
 }
 
-// A start is held up on its way, unanswered, and the job is cancelled meanwhile. The end may be recorded only
-// when no duplicate can still take effect.
+// A start command is delayed and unanswered, and the job is cancelled in the meantime. The job's end may be
+// recorded only when no copy of the command can still take effect.
 TEST(DelayedCommands, AStartThatArrivesAfterTheCancellationRunsNothing) {
-    Site site{1};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{1};
+    test_site.world.endless = {"req-2"};
+    test_site.play([](Site& site) -> Task<void> {
         {
-            auto step = s.run_until_done("req-1", "x", "sweep", 1);
+            auto step = site.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
-        for (auto& [id, w] : s.cloud.workers) w->hold_orders = true;
+        for (auto& [id, worker] : site.cloud.workers) worker->hold_orders = true;
         {
-            auto step = s.submit("req-2", "x", "sweep", 1);
+            auto step = site.submit("req-2", "x", "sweep", 1);
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.held_orders() > 0; });
+            auto step = until(site, [&site] { return site.held_orders() > 0; });
             co_await std::move(step);
         }
         {
-            auto step = cancel(s, "req-2");
+            auto step = cancel(site, "req-2");
             co_await std::move(step);
         }
-        co_await s.loop.sleep(Micros{1'500'000});
-        EXPECT_FALSE(s.state.items.contains("f/req-2")) << "over, while its start may still arrive";
-        for (auto& [id, w] : s.cloud.workers) w->hold_orders = false;
+        co_await site.loop.sleep(Micros{1'500'000});
+        EXPECT_FALSE(site.state.items.contains("f/req-2")) << "over, while its start may still arrive";
+        for (auto& [id, worker] : site.cloud.workers) worker->hold_orders = false;
         {
-            auto step = until(s, [&s] { return s.state.items.contains("f/req-2"); });
+            auto step = until(site, [&site] { return site.state.items.contains("f/req-2"); });
             co_await std::move(step);
         }
-        co_await s.loop.sleep(Micros{1'500'000});
-        s.deliver_held_orders();
-        co_await s.loop.sleep(Micros{100'000});
-        EXPECT_TRUE(s.world.running.empty()) << "a start that came after the end of a cancelled job ran";
+        co_await site.loop.sleep(Micros{1'500'000});
+        site.deliver_held_orders();
+        co_await site.loop.sleep(Micros{100'000});
+        EXPECT_TRUE(site.world.running.empty()) << "a start that came after the end of a cancelled job ran";
     });
 }
 
-// The same with a leader that ends in between, and a machine that is partitioned: the new shard owner has
-// sent no start, but the previous one's may still arrive, since the worker has not heard of the new fencing
-// token.
+// Like the previous test, but the controllers restart and the machine is partitioned. The new shard owner has
+// sent no start command, but that of the previous one may still take effect, since the worker has not
+// received the new fencing token.
 TEST(DelayedCommands, AStartOfThePreviousLeaderKeepsACancelledJobOpenUntilItIsStopped) {
-    Site site{2};
-    site.world.endless = {"req-2"};
-    set_lease(site, 8);
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{2};
+    test_site.world.endless = {"req-2"};
+    set_lease(test_site, 8);
+    test_site.play([](Site& site) -> Task<void> {
         {
-            auto step = s.run_until_done("req-1", "x", "sweep", 1);
+            auto step = site.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
-        for (auto& [id, w] : s.cloud.workers) w->hold_orders = true;
+        for (auto& [id, worker] : site.cloud.workers) worker->hold_orders = true;
         {
-            auto step = s.submit("req-2", "x", "sweep", 1);
+            auto step = site.submit("req-2", "x", "sweep", 1);
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.held_orders() > 0; });
+            auto step = until(site, [&site] { return site.held_orders() > 0; });
             co_await std::move(step);
         }
-        for (auto& [id, w] : s.cloud.workers) w->deaf = true;
-        const std::string old = s.leader();
-        s.kill(0);
-        s.kill(1);
-        s.start(0);
-        s.start(1);
-        const auto before = s.epoch();
+        for (auto& [id, worker] : site.cloud.workers) worker->deaf = true;
+        const std::string old_leader = site.leader();
+        site.kill(0);
+        site.kill(1);
+        site.start(0);
+        site.start(1);
+        const auto before = site.epoch();
         {
-            auto step = until(s, [&s, before] { return s.epoch() > before; });
+            auto step = until(site, [&site, before] { return site.epoch() > before; });
             co_await std::move(step);
         }
         {
-            auto step = cancel(s, "req-2");
+            auto step = cancel(site, "req-2");
             co_await std::move(step);
         }
-        co_await s.loop.sleep(Micros{1'500'000});
-        // Its start may still take effect, so it is neither over nor free of its team's limit.
-        EXPECT_FALSE(s.state.items.contains("f/req-2"));
+        co_await site.loop.sleep(Micros{1'500'000});
+        // The start may still take effect, so the job has not ended and still counts against its team's
+        // limit.
+        EXPECT_FALSE(site.state.items.contains("f/req-2"));
         bool ran = false;
-        for (auto& [id, w] : s.cloud.workers) {
-            for (const auto& copy : w->recorded_attempts) ran = w->late_orders(copy) || ran;
+        for (auto& [id, worker] : site.cloud.workers) {
+            for (const auto& copy : worker->recorded_attempts) ran = worker->late_orders(copy) || ran;
         }
         EXPECT_TRUE(ran) << "the worker has heard of the new token: this test shows nothing";
-        for (auto& [id, w] : s.cloud.workers) w->deaf = w->hold_orders = false;
+        for (auto& [id, worker] : site.cloud.workers) worker->deaf = worker->hold_orders = false;
         {
-            auto step =
-                until(s, [&s] { return s.world.running.empty() && s.state.items.contains("f/req-2"); });
+            auto step = until(
+                site, [&site] { return site.world.running.empty() && site.state.items.contains("f/req-2"); });
             co_await std::move(step);
         }
     });
 }
 
-// Its heartbeats came in, and its lease expired all the same: it may hear nobody, and what it is given never
-// starts.
+// The heartbeats of a machine arrived, but its lease expired nevertheless: it may be unable to receive
+// anything, so tasks placed on it would never start. It gets tasks again only after it has answered a
+// request.
 TEST(OneWayPartition, AWorkerOfANewIncarnationAnswersBeforeItTakesTasksAgain) {
-    test::Cluster c;
-    c.teams["x"] = {"x", 8, 24, 0, 0};
-    c.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
-    const Micros doubt{26'000'000};
-    const auto starts = [&c] {
-        core::FreeCapacity capacity = c.free_capacity();
-        return core::place(test::placement_input(c), capacity).starts.size();
+    test::Cluster cluster;
+    cluster.teams["x"] = {"x", 8, 24, 0, 0};
+    cluster.job_table.put_job(test::job("req-1", "x", 1, 1), 1);
+    const Micros stale_heartbeat_threshold{26'000'000};
+    const auto starts = [&cluster] {
+        core::FreeCapacity capacity = cluster.free_capacity();
+        return core::place(test::placement_input(cluster), capacity).starts.size();
     };
     auto machine = test::heartbeat("n-1", "small", "a");
-    c.cluster_view.apply(machine, c.now, c.now, true, doubt);
+    cluster.cluster_view.apply(machine, cluster.now, cluster.now, true, stale_heartbeat_threshold);
     EXPECT_EQ(starts(), 1U);
     ++machine.heartbeat_sequence;
-    c.cluster_view.apply(machine, c.now, c.now, false, doubt);
+    cluster.cluster_view.apply(machine, cluster.now, cluster.now, false, stale_heartbeat_threshold);
     EXPECT_EQ(starts(), 1U);
     ++machine.heartbeat_sequence;
     ++machine.incarnation;
-    c.cluster_view.apply(machine, c.now, c.now, false, doubt);
+    cluster.cluster_view.apply(machine, cluster.now, cluster.now, false, stale_heartbeat_threshold);
     EXPECT_EQ(starts(), 0U);
-    c.cluster_view.confirm("n-1");
+    cluster.cluster_view.confirm("n-1");
     EXPECT_EQ(starts(), 1U);
 }
 
-// Heartbeats of a machine arrive, answers and commands do not, and the leader ends. The machine is alive for
-// nobody: its lease runs out on its own side, and its tasks are placed elsewhere then, not before.
+// The heartbeats of a machine arrive, but no answers or commands reach it, and the leader crashes. The
+// machine's lease expires on its own side. Its tasks must be placed elsewhere after that, and not earlier.
 TEST(OneWayPartition, TasksMoveOnceTheLeaseHasExpiredAcrossAFailover) {
-    Site site{2};
-    site.world.endless = {"req-1"};
-    set_lease(site, 4);
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{2};
+    test_site.world.endless = {"req-1"};
+    set_lease(test_site, 4);
+    test_site.play([](Site& site) -> Task<void> {
         {
-            auto step = submit(s, "req-1", "x", "service", 2, 3);
+            auto step = submit(site, "req-1", "x", "service", 2, 3);
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.world.running.size() == 2; });
+            auto step = until(site, [&site] { return site.world.running.size() == 2; });
             co_await std::move(step);
         }
         const Micros began = io::steady_now();
-        const std::string deaf = s.world.running["req-1/0"];
-        s.cloud.workers.at(deaf)->deaf = true;
-        const std::string old = s.leader();
-        s.kill(s.index(old));
-        {
-            auto step = until(s, [&s, deaf] {
-                const auto at = s.world.running.find("req-1/0");
-                return at != s.world.running.end() && at->second != deaf;
+        const std::string partitioned = site.world.running["req-1/0"];
+        site.cloud.workers.at(partitioned)->deaf = true;
+        const std::string old_leader = site.leader();
+        site.kill(site.index(old_leader));
+        {
+            auto step = until(site, [&site, partitioned] {
+                const auto at = site.world.running.find("req-1/0");
+                return at != site.world.running.end() && at->second != partitioned;
             });
             co_await std::move(step);
         }
         EXPECT_LT(io::steady_now() - began, Micros{30'000'000}) << "it counted as alive after its lease";
-        EXPECT_GT(s.cloud.workers.contains(deaf) ? s.cloud.workers.at(deaf)->incarnation() : 2U, 1U);
+        EXPECT_GT(
+            site.cloud.workers.contains(partitioned) ? site.cloud.workers.at(partitioned)->incarnation() : 2U,
+            1U);
         {
-            auto step = s.until_status("req-1", "running");
+            auto step = site.until_status("req-1", "running");
             co_await std::move(step);
         }
     });
 }
 
-// All controllers are away for longer than a lease. When they are back, stale heartbeats of ended
-// incarnations reach every one of them first, and again and again.
+// All controllers are down for longer than a lease. After their restart, each of them repeatedly receives
+// stale heartbeats of ended incarnations before any others.
 TEST(StaleHeartbeats, OfEndedIncarnationsAtRestartedControllersStartNoTaskTwice) {
-    Site site{3};
-    site.world.endless = {"req-1", "req-2"};
-    set_lease(site, 2);
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{3};
+    test_site.world.endless = {"req-1", "req-2"};
+    set_lease(test_site, 2);
+    test_site.play([](Site& site) -> Task<void> {
         for (const char* id : {"req-1", "req-2"}) {
-            auto step = submit(s, id, id == std::string("req-1") ? "x" : "y", "service", 2, 2);
+            auto step = submit(site, id, id == std::string("req-1") ? "x" : "y", "service", 2, 2);
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.world.running.size() == 4; });
             co_await std::move(step);
         }
         std::vector<Json> copies;
-        for (const auto& [id, w] : s.cloud.workers) copies.push_back(w->last_report);
-        for (const std::size_t i : {0U, 1U, 2U}) s.kill(i);
+        for (const auto& [id, worker] : site.cloud.workers) copies.push_back(worker->last_report);
+        for (const std::size_t i : {0U, 1U, 2U}) site.kill(i);
         {
-            auto step = until(s, [&s] { return s.world.running.empty(); });
+            auto step = until(site, [&site] { return site.world.running.empty(); });
             co_await std::move(step);
         }
-        for (const std::size_t i : {0U, 1U, 2U}) s.start(i);
+        for (const std::size_t i : {0U, 1U, 2U}) site.start(i);
         for (int round = 0; round < 15; ++round) {
             for (const std::size_t i : {0U, 1U, 2U}) {
                 for (const auto& copy : copies) {
-                    auto call = s.call(i, "POST", "/hello", copy);
+                    auto call = site.call(i, "POST", "/hello", copy);
                     co_await std::move(call);
                 }
             }
-            co_await s.loop.sleep(Micros{40'000});
+            co_await site.loop.sleep(Micros{40'000});
         }
         {
-            auto step = until(s, [&s] { return s.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.world.running.size() == 4; });
             co_await std::move(step);
         }
-        for (const auto& [task, n] : s.world.started) EXPECT_EQ(n, 2) << task;
+        for (const auto& [task, count] : site.world.started) EXPECT_EQ(count, 2) << task;
     });
 }
 
-// Two tasks of one job end far apart. One ends just before the leader does, the other's machine hangs
-// meanwhile, within its lease.
+// One task of a job ends just before the leader crashes. The machine of the other task hangs meanwhile, but
+// not beyond its lease, and that task ends much later.
 TEST(LeaderFailover, TasksThatEndBeforeAndAfterItAreCountedOnce) {
-    Site site{2};
-    site.world.run_time = Micros{0};
-    site.world.endless = {"req-1"};
-    set_lease(site, 6);
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{2};
+    test_site.world.run_time = Micros{0};
+    test_site.world.endless = {"req-1"};
+    set_lease(test_site, 6);
+    test_site.play([](Site& site) -> Task<void> {
         {
-            auto step = submit(s, "req-1", "x", "sweep", 2, 3);
+            auto step = submit(site, "req-1", "x", "sweep", 2, 3);
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.world.running.size() == 2; });
+            auto step = until(site, [&site] { return site.world.running.size() == 2; });
             co_await std::move(step);
         }
-        auto& slow = *s.cloud.workers.at(s.world.running["req-1/1"]);
-        slow.hung = true;
-        s.world.endless.clear();
+        auto& hung_worker = *site.cloud.workers.at(site.world.running["req-1/1"]);
+        hung_worker.hung = true;
+        site.world.endless.clear();
         {
-            auto step = until(s, [&s] { return s.world.completed["req-1/0"] == 1; });
+            auto step = until(site, [&site] { return site.world.completed["req-1/0"] == 1; });
             co_await std::move(step);
         }
-        co_await s.loop.sleep(Micros{120'000});
-        const std::string old = s.leader();
-        s.kill(s.index(old));
+        co_await site.loop.sleep(Micros{120'000});
+        const std::string old_leader = site.leader();
+        site.kill(site.index(old_leader));
         {
-            auto step = until(s, [&s, old] { return !leader_but(s, old).empty(); });
+            auto step =
+                until(site, [&site, old_leader] { return !leader_other_than(site, old_leader).empty(); });
             co_await std::move(step);
         }
         for (int i = 0; i < 10; ++i) {
-            auto poll = s.insist("GET", "/api/jobs/req-1", nullptr, {200});
-            const Json v = co_await std::move(poll);
-            EXPECT_NE(v["status"], "done");
-            EXPECT_LE(v["done"].get<int>(), 1);
-            co_await s.loop.sleep(Micros{100'000});
+            auto poll = site.insist("GET", "/api/jobs/req-1", nullptr, {200});
+            const Json status = co_await std::move(poll);
+            EXPECT_NE(status["status"], "done");
+            EXPECT_LE(status["done"].get<int>(), 1);
+            co_await site.loop.sleep(Micros{100'000});
         }
-        slow.hung = false;
+        hung_worker.hung = false;
         {
-            auto step = s.until_status("req-1", "done");
+            auto step = site.until_status("req-1", "done");
             co_await std::move(step);
         }
-        for (const auto& [task, n] : s.world.started) EXPECT_EQ(n, 1) << task;
+        for (const auto& [task, count] : site.world.started) EXPECT_EQ(count, 1) << task;
     });
 }
 
-// A team is at its limit, one of its machines hangs, its job is cancelled, and the leader ends. What the
-// limit leaves is free only when the tasks were seen gone.
+// A team is at its limit, one of its machines hangs, its job is cancelled, and the leader crashes. The tasks
+// count against the limit until they are known to have ended.
 TEST(Quota, ACancelledTaskOnAnUnreachableMachineCountsUntilItHasExited) {
-    Site site{2};
-    site.world.endless = {"req-1", "req-2"};
-    set_lease(site, 6);
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{2};
+    test_site.world.endless = {"req-1", "req-2"};
+    set_lease(test_site, 6);
+    test_site.play([](Site& site) -> Task<void> {
         {
-            auto step = submit(s, "req-1", "x", "service", 4, 4);  // all of the 16 CPUs
+            auto step = submit(site, "req-1", "x", "service", 4, 4);  // all of the 16 CPUs
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return s.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.world.running.size() == 4; });
             co_await std::move(step);
         }
-        s.cloud.workers.at(s.world.running["req-1/2"])->hung = true;
-        const std::string old = s.leader();
+        site.cloud.workers.at(site.world.running["req-1/2"])->hung = true;
+        const std::string old_leader = site.leader();
         {
-            auto step = cancel(s, "req-1");
+            auto step = cancel(site, "req-1");
             co_await std::move(step);
         }
-        s.kill(s.index(old));
+        site.kill(site.index(old_leader));
         {
-            auto step = submit(s, "req-2", "x", "sweep", 4, 4);
+            auto step = submit(site, "req-2", "x", "sweep", 4, 4);
             co_await std::move(step);
         }
-        std::size_t most = 0;
+        std::size_t max_running = 0;
         {
-            auto step = until(s, [&s, &most] {
-                most = std::max(most, s.world.running.size());
-                return !s.world.running.contains("req-1/2") && s.world.running.size() == 4;
+            auto step = until(site, [&site, &max_running] {
+                max_running = std::max(max_running, site.world.running.size());
+                return !site.world.running.contains("req-1/2") && site.world.running.size() == 4;
             });
             co_await std::move(step);
         }
-        EXPECT_LE(most, 4U) << "a team uses more than its limit";
+        EXPECT_LE(max_running, 4U) << "a team uses more than its limit";
     });
 }
 
-// Machines are up at once and get work while the store is slow to answer, and the leader ends. What it had
-// recorded runs once, and no instance that it had requested is lost or requested a second time for the same
-// work.
+// Machines boot immediately and get tasks while the store answers slowly, and then the leader crashes. Tasks
+// that it had recorded run once, and instances that it had requested are neither lost nor requested a second
+// time for the same tasks.
 TEST(LeaderFailover, ASlowStoreDuringScaleOutStartsNoTaskTwice) {
-    Site site{2};
-    site.world.endless = {"req-1", "req-2"};
-    site.state.answer_after = [](const Json&) { return Micros{400'000}; };
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{2};
+    test_site.world.endless = {"req-1", "req-2"};
+    test_site.state.answer_after = [](const Json&) { return Micros{400'000}; };
+    test_site.play([](Site& site) -> Task<void> {
         for (const char* id : {"req-1", "req-2"}) {
-            auto step = submit(s, id, id == std::string("req-1") ? "x" : "y", "service", 2, 3);
+            auto step = submit(site, id, id == std::string("req-1") ? "x" : "y", "service", 2, 3);
             co_await std::move(step);
         }
         {
-            auto step = until(s, [&s] { return !s.cloud.workers.empty(); });
+            auto step = until(site, [&site] { return !site.cloud.workers.empty(); });
             co_await std::move(step);
         }
-        const std::string old = s.leader();
-        s.kill(s.index(old));
+        const std::string old_leader = site.leader();
+        site.kill(site.index(old_leader));
         {
-            auto step = until(s, [&s] { return s.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.world.running.size() == 4; });
             co_await std::move(step);
         }
-        co_await s.loop.sleep(Micros{1'000'000});
-        EXPECT_EQ(s.world.running.size(), 4U);
-        for (const auto& [task, n] : s.world.started) EXPECT_EQ(n, 1) << task;
-        EXPECT_LE(s.cloud.workers.size(), 6U) << "scaled out again for work that had machines";
+        co_await site.loop.sleep(Micros{1'000'000});
+        EXPECT_EQ(site.world.running.size(), 4U);
+        for (const auto& [task, count] : site.world.started) EXPECT_EQ(count, 1) << task;
+        EXPECT_LE(site.cloud.workers.size(), 6U) << "scaled out again for work that had machines";
     });
 }
 
-// An array bound to one zone loses a machine, and then the leader that knew where its tasks were. Its tasks
-// that cannot be reached are still where they are.
+// Machines of an array that is bound to one zone become unreachable, and then the leader that knew the tasks'
+// machines crashes. The unreachable tasks still bind the array to their zone.
 TEST(LeaderFailover, AOneZoneArrayThatLosesAMachineStaysInItsZone) {
-    Site site{2};
-    site.world.endless = {"req-1"};
-    set_lease(site, 4);
-    site.play([](Site& s) -> Task<void> {
+    Site test_site{2};
+    test_site.world.endless = {"req-1"};
+    set_lease(test_site, 4);
+    test_site.play([](Site& site) -> Task<void> {
         Json job = submission("req-1", "x", "sweep", 3, 3);
         job["oneZone"] = true;
         {
-            auto step = s.insist("POST", "/api/jobs", job, {200, 201});
+            auto step = site.insist("POST", "/api/jobs", job, {200, 201});
             co_await std::move(step);
         }
         std::map<std::string, std::string> zone_of;
         std::size_t zones_at_once = 0;
-        const auto look = [&s, &zone_of, &zones_at_once] {
-            for (const auto& [id, w] : s.cloud.workers) zone_of[id] = w->zone();
+        const auto record_zones = [&site, &zone_of, &zones_at_once] {
+            for (const auto& [id, worker] : site.cloud.workers) zone_of[id] = worker->zone();
             std::set<std::string> zones;
-            for (const auto& [task, machine] : s.world.running) zones.insert(zone_of[machine]);
+            for (const auto& [task, machine] : site.world.running) zones.insert(zone_of[machine]);
             zones_at_once = std::max(zones_at_once, zones.size());
         };
         {
-            auto step = until(s, [&] {
-                look();
-                return s.world.running.size() == 3;
+            auto step = until(site, [&] {
+                record_zones();
+                return site.world.running.size() == 3;
             });
             co_await std::move(step);
         }
         // Neither answers nor commands reach two of its machines.
         for (const char* task : {"req-1/0", "req-1/1"})
-            s.cloud.workers.at(s.world.running[task])->deaf = true;
-        const std::string old = s.leader();
-        s.kill(s.index(old));
-        s.start(s.index(old));
-        {
-            auto step = until(s, [&] {
-                look();
-                const auto at = s.world.started.find("req-1/0");
-                return at != s.world.started.end() && at->second > 1;
+            site.cloud.workers.at(site.world.running[task])->deaf = true;
+        const std::string old_leader = site.leader();
+        site.kill(site.index(old_leader));
+        site.start(site.index(old_leader));
+        {
+            auto step = until(site, [&] {
+                record_zones();
+                const auto at = site.world.started.find("req-1/0");
+                return at != site.world.started.end() && at->second > 1;
             });
             co_await std::move(step);
         }
@@ -546,7 +555,7 @@
     });
 }
 
-// A machine or a job that fails is tried ever more seldom, and yet so often that nothing waits 90 s for it.
+// The backoff of a failing machine or job grows, but stays below the maximum queue time of 90 s.
 TEST(FailureBackoff, IsShorterThanAJobMayWait) {
     for (int errors = 1; errors < 100; ++errors) {
         EXPECT_LT(core::machine_backoff(errors), core::kBeginWithin) << errors;
--- a/tests/gang_at_team_limit_test.cpp
+++ b/tests/gang_at_team_limit_test.cpp
@@ -1,16 +1,12 @@
-// Jobs left waiting beside free machines, although their team was under its limit.
+// Guards against jobs that wait beside free machines although their team is below its limit.
 //
-// What happens: tests/scenarios/gap.toml, seed 35. From 158 s on team "tides" (limit 48 CPUs) starts hardly
-// anything, while up to three machines of 8 CPUs are empty. Four arrays wait for more than 90 s.
-//
-// Why: a gang of 16 CPUs (req-416431, accepted at 9.8 s) is the oldest job of the team that has not begun. It
-// does not fit beside the 34 to 40 CPUs that arrays of the team use, so each pass leaves the rest of the
-// limit to it and starts nothing else of the team. Nothing is stopped for it either, although it has the
-// higher priority: the team waits until enough tasks of two minutes have ended by themselves.
-//
-// What showed it: the trace of that run. Use of the team was 40 CPUs at 205 s, 38 at 230 s and 34 at 250 s;
-// three machines were empty at 205 s and at 230 s, and 6 CPUs free on two machines at 250 s. The gang needs
-// 32 or less.
+// Without preemption for an overdue gang, tests/scenarios/gap.toml with seed 35 shows the failure: a gang of
+// 16 CPUs (req-416431, accepted at 9.8 s) is the oldest unstarted job of team "tides", whose limit is 48
+// CPUs. Arrays of the team use 34 to 40 CPUs, and the gang starts only if they use 32 or less. Each pass
+// reserves the rest of the limit for the gang, so from 158 s on the team starts hardly anything until enough
+// tasks of two minutes have ended. Up to three machines of 8 CPUs are empty, and four arrays wait for more
+// than 90 s. Trace of the team's use: 40 CPUs at 205 s, 38 at 230 s, 34 at 250 s; three machines were empty
+// at 205 s and at 230 s, and 6 CPUs were free on two machines at 250 s.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -36,8 +32,8 @@
     return gang;
 }
 
-// A team with a limit of 8 CPUs, whose array runs six tasks of one CPU on a machine of 16; beside it an empty
-// one.
+// A team with a limit of 8 CPUs. Its array runs six tasks of one CPU on a machine with 16 CPUs; a second
+// machine is empty.
 class TeamAtItsLimit {
   public:
     explicit TeamAtItsLimit(core::Priority array_priority) {
@@ -55,7 +51,7 @@
         return core::place(test::placement_input(cluster), capacity);
     }
 
-    // The tasks have exited, and their ends are recorded.
+    // Makes the preempted tasks exit, and records their ends.
     void end(const std::vector<core::Stop>& stops) {
         std::set<std::uint32_t> ended;
         for (const auto& stop : stops) ended.insert(stop.task);
@@ -65,7 +61,8 @@
     Cluster cluster;
 
   private:
-    // All tasks but those that ended run, as of that mod revision and heartbeat.
+    // Records and reports all tasks except the ended ones as running. `version`: mod revision of the chunk
+    // and sequence number of the heartbeat.
     void record_running(const std::set<std::uint32_t>& ended, std::uint64_t version) {
         core::Chunk chunk;
         chunk.mod_revision = version;
@@ -82,7 +79,7 @@
     }
 };
 
-// The gang needs 4 of 8 CPUs, of which 6 are used: two tasks have to go, and then it starts.
+// The gang needs 4 of 8 CPUs, of which 6 are used: two tasks are preempted, and then the gang starts.
 TEST(GangAtTheTeamsLimit, StopsLowerPriorityTasksOfItsOwnTeam) {
     TeamAtItsLimit team{core::Priority::normal};
     team.cluster.job_table.put_job(overdue_gang(2, 2), 3);
@@ -97,7 +94,7 @@
     EXPECT_EQ(second.starts.front().job, "req-1");
 }
 
-// While those that were told to stop are still there, no others are stopped.
+// While preempted tasks have not exited yet, no other tasks are preempted.
 TEST(GangAtTheTeamsLimit, StopsNobodyElseWhileTheFirstStopsAreUnderWay) {
     TeamAtItsLimit team{core::Priority::normal};
     team.cluster.job_table.put_job(overdue_gang(2, 2), 3);
@@ -112,43 +109,43 @@
     EXPECT_TRUE(second.starts.empty());
 }
 
-// Work of the same priority is not stopped, nor is anything when the gang would not fit all the same.
+// Tasks of the same priority are not preempted, and none are preempted if the gang would still not fit.
 TEST(GangAtTheTeamsLimit, StopsNothingOfItsOwnPriorityAndNothingInVain) {
     TeamAtItsLimit equal{core::Priority::high};
     equal.cluster.job_table.put_job(overdue_gang(2, 2), 3);
     EXPECT_TRUE(equal.place().stops.empty());
-    TeamAtItsLimit hopeless{core::Priority::normal};
-    hopeless.cluster.job_table.put_job(overdue_gang(5, 2), 3);
-    EXPECT_TRUE(hopeless.place().stops.empty());
+    TeamAtItsLimit too_large{core::Priority::normal};
+    too_large.cluster.job_table.put_job(overdue_gang(5, 2), 3);
+    EXPECT_TRUE(too_large.place().stops.empty());
 }
 
-// Generated clusters: what is stopped for an overdue gang is lower work of its own team, never a gang or a
-// service of production; and the pass keeps the team's limit.
+// On generated clusters, preemptions for an overdue gang affect neither gangs nor production jobs, no task is
+// preempted twice, and the pass keeps the teams' limits.
 TEST(GangAtTheTeamsLimit, KeepsTheRulesOnAnyCluster) {
     test::holds("stops are lower work, the limit holds", [] {
-        Cluster c = test::draw_cluster();
+        Cluster cluster = test::draw_cluster();
         const auto tasks = *rc::gen::inRange<std::uint32_t>(1, 6);
         core::Job gang = overdue_gang(tasks, *rc::gen::element(1.0, 2.0, 4.0));
         gang.id = "req-900";
-        c.job_table.put_job(gang, 1'000);
-        c.now += core::kBeginWithin * 2;
-        core::FreeCapacity capacity = c.free_capacity();
-        const auto out = core::place(test::placement_input(c), capacity);
+        cluster.job_table.put_job(gang, 1'000);
+        cluster.now += core::kBeginWithin * 2;
+        core::FreeCapacity capacity = cluster.free_capacity();
+        const auto result = core::place(test::placement_input(cluster), capacity);
         std::map<std::string, core::Resources> use;
-        for (const auto& [name, team] : c.teams) use[name] = c.job_table.team_use(name);
-        for (const auto& start : out.starts) {
-            const core::Job& job = c.job_table.find(start.job)->job;
+        for (const auto& [name, team] : cluster.teams) use[name] = cluster.job_table.team_use(name);
+        for (const auto& start : result.starts) {
+            const core::Job& job = cluster.job_table.find(start.job)->job;
             use[job.team] += job.resources;
         }
-        for (const auto& [name, team] : c.teams) RC_ASSERT(use[name].cpus <= team.cpus_max + 1e-6);
+        for (const auto& [name, team] : cluster.teams) RC_ASSERT(use[name].cpus <= team.cpus_max + 1e-6);
         std::set<core::TaskRef> stopped;
-        for (const auto& stop : out.stops) {
-            const core::Job& job = c.job_table.find(stop.job)->job;
+        for (const auto& stop : result.stops) {
+            const core::Job& job = cluster.job_table.find(stop.job)->job;
             RC_ASSERT(job.kind != core::JobKind::gang);
             RC_ASSERT(job.priority != core::Priority::production);
             RC_ASSERT((stopped.insert({stop.job, stop.task}).second));
         }
-        RC_ASSERT(out.stops.size() <= test::placement_input(c).most_stops);
+        RC_ASSERT(result.stops.size() <= test::placement_input(cluster).most_stops);
     });
 }
 
