--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -142,11 +142,11 @@
 }
 
 core::DependencyPlan DependencyReconciler::plan_resolutions() {
-    const Micros began = steady_now();
+    const Micros started_at = steady_now();
     auto plan = core::plan_dependencies(
         replicated_.job_table(), [this](const std::string& job) { return final_states_.ending(job); },
         [this](const core::Job& job) { return acts_for(job); });
-    last_planning_duration_ = steady_now() - began;
+    last_planning_duration_ = steady_now() - started_at;
     if (!plan.release.empty() || !plan.cancel.empty())
         spdlog::debug("event=dependencies releases={} cancels={} unknown={}", plan.release.size(),
                       plan.cancel.size(), plan.unknown_terminal_states.size());
--- a/src/scheduling/shard_scheduler.cpp
+++ b/src/scheduling/shard_scheduler.cpp
@@ -73,12 +73,12 @@
 }
 
 Task<void> ShardScheduler::pass() {
-    const Micros began = steady_now();
+    const Micros started_at = steady_now();
     StagedRecords staged;
     reconciler_.reconcile(staged);
     const bool in_doubt = commit_.in_doubt();
     if (in_doubt || !may_place()) {
-        last_pass_duration_ = steady_now() - began;
+        last_pass_duration_ = steady_now() - started_at;
         if (!in_doubt) co_return;
         auto retry = retry_in_doubt();
         co_await std::move(retry);
@@ -86,7 +86,7 @@
     }
     PlannedWrites writes = plan_writes(staged);
     context_.store.set_backlog(writes.left_out + static_cast<double>(writes.deferred_jobs));
-    last_pass_duration_ = std::min(steady_now() - began, kMaxCountedPassDuration);
+    last_pass_duration_ = std::min(steady_now() - started_at, kMaxCountedPassDuration);
     spdlog::debug(
         "event=scheduling_pass took_us={} units={} writes={} left_out={} deferred={} spare={:.1f} "
         "rate={:.1f}",
@@ -132,14 +132,14 @@
 
 void ShardScheduler::keep_affordable(PlannedWrites& writes, const WriteBudget& budget) {
     std::erase_if(writes.units, [&](const WriteUnit& unit) {
-        const auto wanted = static_cast<double>(unit.write_count());
-        const bool fits = writes.count == 0 || writes.count + wanted <= budget.limit(unit.rank);
+        const auto unit_writes = static_cast<double>(unit.write_count());
+        const bool fits = writes.count == 0 || writes.count + unit_writes <= budget.limit(unit.rank);
         if (fits) {
-            writes.count += wanted;
+            writes.count += unit_writes;
         } else if (unit.rank <= WriteRank::overdue_completion) {
             // Writes of lower ranks are delayed on purpose and are not reported as backlog. If they were,
             // they would take a share of the write budget from other controllers without using it.
-            writes.left_out += wanted;
+            writes.left_out += unit_writes;
         }
         return !fits;
     });
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -65,7 +65,7 @@
         if (cluster.job_table.find(start.job)->job.team == "x")
             use += cluster.job_table.find(start.job)->job.resources;
     }
-    EXPECT_LE(use.cpus, 8 + core::kResourceTolerance) << "the stopped task is on its machine still";
+    EXPECT_LE(use.cpus, 8 + core::kResourceTolerance) << "the preempted task is still on its machine";
 }
 
 // The end of an attempt is recorded, but its worker still lists it: the acknowledgement of its exit was lost
@@ -224,7 +224,8 @@
             co_await std::move(step);
         }
         co_await site.loop.sleep(Micros{1'500'000});
-        EXPECT_FALSE(site.state.items.contains("f/req-2")) << "over, while its start may still arrive";
+        EXPECT_FALSE(site.state.items.contains("f/req-2"))
+            << "the job has ended although its start may still arrive";
         for (auto& [id, worker] : site.cloud.workers) worker->hold_orders = false;
         {
             auto step = until(site, [&site] { return site.state.items.contains("f/req-2"); });
@@ -233,7 +234,8 @@
         co_await site.loop.sleep(Micros{1'500'000});
         site.deliver_held_orders();
         co_await site.loop.sleep(Micros{100'000});
-        EXPECT_TRUE(site.world.running.empty()) << "a start that came after the end of a cancelled job ran";
+        EXPECT_TRUE(site.world.running.empty())
+            << "a start that arrived after the end of a cancelled job was executed";
     });
 }
 
@@ -281,7 +283,7 @@
         for (auto& [id, worker] : site.cloud.workers) {
             for (const auto& copy : worker->recorded_attempts) ran = worker->late_orders(copy) || ran;
         }
-        EXPECT_TRUE(ran) << "the worker has heard of the new token: this test shows nothing";
+        EXPECT_TRUE(ran) << "the worker has received the new fencing token, so this test proves nothing";
         for (auto& [id, worker] : site.cloud.workers) worker->deaf = worker->hold_orders = false;
         {
             auto step = until(
@@ -344,7 +346,8 @@
             });
             co_await std::move(step);
         }
-        EXPECT_LT(io::steady_now() - began, Micros{30'000'000}) << "it counted as alive after its lease";
+        EXPECT_LT(io::steady_now() - began, Micros{30'000'000})
+            << "the machine was considered alive after its lease had expired";
         EXPECT_GT(
             site.cloud.workers.contains(partitioned) ? site.cloud.workers.at(partitioned)->incarnation() : 2U,
             1U);
@@ -505,7 +508,7 @@
         co_await site.loop.sleep(Micros{1'000'000});
         EXPECT_EQ(site.world.running.size(), 4U);
         for (const auto& [task, count] : site.world.started) EXPECT_EQ(count, 1) << task;
-        EXPECT_LE(site.cloud.workers.size(), 6U) << "scaled out again for work that had machines";
+        EXPECT_LE(site.cloud.workers.size(), 6U) << "scaled out again for tasks that already had machines";
     });
 }
 
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -1,4 +1,5 @@
-// End-to-end tests of jobs that depend on other jobs: complete controllers with stand-ins for their peers.
+// End-to-end tests of jobs that depend on other jobs: complete controllers against stand-ins of the store,
+// the cloud and the workers.
 #include <gtest/gtest.h>
 
 #include "site.hpp"
@@ -358,10 +359,10 @@
         site.world.endless.clear();
         const std::vector<std::pair<std::string, std::string>> steps{{"req-1", "y"}, {"req-2", "z"}};
         for (const auto& [ended, team] : steps) {
-            const std::function<bool()> over = [&site, ended = ended] {
+            const std::function<bool()> finished = [&site, ended = ended] {
                 return final_state(site, ended) == "done";
             };
-            auto waiting = site.until(over);
+            auto waiting = site.until(finished);
             co_await std::move(waiting);
             co_await site.loop.sleep(Micros{100'000});
             const std::string owner = site.state.items.at("h/epoch").value["owners"][team];
@@ -482,8 +483,8 @@
             co_await std::move(step);
         }
         site.world.endless.erase("req-1");
-        auto over = site.until_status("req-1", "done");
-        co_await std::move(over);
+        auto finished = site.until_status("req-1", "done");
+        co_await std::move(finished);
         auto cancelling = cancel(site, "req-1");
         const auto done_job_answer = co_await std::move(cancelling);
         EXPECT_EQ(done_job_answer["status"], "done");
@@ -560,8 +561,7 @@
     });
 }
 
-// The store commits submissions, releases and the records of starts and ends, but the first answer to each is
-// lost.
+// The store commits submissions, releases and final states, but the first answer to each is lost.
 TEST(Pipelines, LostAnswersOfTheStateServiceAreRecoveredFrom) {
     Site test_site{3};
     test_site.play([](Site& site) -> Task<void> {
@@ -597,8 +597,8 @@
     test_site.play([](Site& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
-        auto over = submit(site, Site::submission("req-2", "x", "sweep", 1));
-        co_await std::move(over);
+        auto submitting = submit(site, Site::submission("req-2", "x", "sweep", 1));
+        co_await std::move(submitting);
         auto done = site.until_status("req-2", "done");
         co_await std::move(done);
         // The key and value that the earlier version writes for a controller.
@@ -676,8 +676,8 @@
         site.state.late_commit(
             {{"when", Json::array()}, {"writes", {{{"write", "h/job/req-2"}, {"v", stripped}}}}});
         site.world.endless.clear();
-        auto over = site.until_status("req-1", "done");
-        co_await std::move(over);
+        auto finished = site.until_status("req-1", "done");
+        co_await std::move(finished);
         auto busy = site.run("req-5", "y", "sweep", 4);
         co_await std::move(busy);
         EXPECT_EQ(site.world.started["req-2/0"], 0);
