--- a/src/store/final_state_reader.hpp
+++ b/src/store/final_state_reader.hpp
@@ -21,7 +21,7 @@
 enum class Lookup : std::uint8_t {
     found,
     absent,  ///< the store answered that it has no final state of the job
-    failed,  ///< no usable answer: the final state may or may not exist
+    failed   ///< no usable answer: the final state may or may not exist
 };
 
 /// The result of looking up the final state of one job.
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -193,8 +193,8 @@
 
 Task<bool> Replica::wait_for_conflict(std::vector<wire::Condition> conditions, CommitResult conflict,
                                       Micros deadline) {
-    auto waiting = wait_for_revision(conflict.revision, deadline);
-    const bool reached = co_await std::move(waiting);
+    auto reaching = wait_for_revision(conflict.revision, deadline);
+    const bool reached = co_await std::move(reaching);
     if (!reached) co_return false;
     for (const auto& key : conflict.failed) {
         if (!has_rejected_revision(key, conditions) || steady_now() - diverged_at_ < kMinReloadInterval)
@@ -243,8 +243,8 @@
         co_await std::move(reading);
     }
     if (!read_ok_) co_return false;
-    auto waiting = wait_for_revision(read_revision_, deadline);
-    const bool reached = co_await std::move(waiting);
+    auto reaching = wait_for_revision(read_revision_, deadline);
+    const bool reached = co_await std::move(reaching);
     co_return reached;
 }
 
