--- a/tests/scenario_run.hpp
+++ b/tests/scenario_run.hpp
@@ -1,4 +1,4 @@
-/// Plays a scenario of tests/scenarios.
+/// Runs emulator scenarios from tests/scenarios.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,12 @@
 
 namespace hatchwind::test {
 
-/// The scenario of that name as its file has it.
+/// Reads the scenario file with this name.
 inline emulator::Scenario scenario(const std::string& name) {
     return emulator::read_scenario(std::string{HATCHWIND_SCENARIOS} + "/" + name + ".toml");
 }
 
-/// A run of the scenario with that seed, played to its end.
+/// Runs the scenario with the given seed to its end and returns the finished run.
 inline std::unique_ptr<emulator::Play> play_scenario(const std::string& name, std::uint64_t seed,
                                                      const emulator::PlayOptions& options = {}) {
     emulator::Scenario seeded = scenario(name);
--- a/tests/site.hpp
+++ b/tests/site.hpp
@@ -1,4 +1,5 @@
-// Whole controllers against stand-ins of state service, cloud and workers, in one loop on loopback.
+/// Runs complete controllers against fakes of the state service, the cloud and workers, in one event loop on
+/// loopback.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,8 +18,9 @@
 
 class Site {
   public:
-    // The node that is behind relays sees store and peers only through them; see cut_off().
-    explicit Site(int nodes, int relayed = -1)
+    // `relayed_node`: index of a node that reaches the store and its peers only through relays, so that
+    // cut_off() can partition it; -1: none.
+    explicit Site(int nodes, int relayed_node = -1)
         : state(loop), cloud(loop, [this](std::string id, std::string zone) {
               return std::make_unique<WorkerStandIn>(loop, world, std::move(id), std::move(zone), addresses_,
                                                      labels_);
@@ -29,79 +31,85 @@
             addresses_.push_back(local(free_port()));
             peer_mesh_.push_back(local(free_port()));
         }
-        if (relayed >= 0) {
-            relayed_ = static_cast<std::size_t>(relayed);
+        if (relayed_node >= 0) {
+            relayed_node_ = static_cast<std::size_t>(relayed_node);
             state_relay_ = std::make_unique<Relay>(loop, state.address);
             for (int i = 0; i < nodes; ++i)
-                relays_.push_back(std::make_unique<Relay>(loop, peer_mesh_[static_cast<std::size_t>(i)]));
+                peer_relays_.push_back(
+                    std::make_unique<Relay>(loop, peer_mesh_[static_cast<std::size_t>(i)]));
         }
-        services_.resize(static_cast<std::size_t>(nodes));
+        controllers_.resize(static_cast<std::size_t>(nodes));
         for (int i = 0; i < nodes; ++i) start(static_cast<std::size_t>(i));
     }
-    void start(std::size_t i) {
-        controller::Settings s;
-        s.label = labels_[i];
-        s.zone = "a";
-        s.api = addresses_[i];
-        s.mesh = peer_mesh_[i];
-        for (std::size_t k = 0; k < labels_.size(); ++k) {
-            if (k != i)
-                s.peers.push_back(
-                    {labels_[k], "a", i == relayed_ || k == relayed_ ? relays_[k]->address : peer_mesh_[k]});
+    void start(std::size_t node) {
+        controller::Settings settings;
+        settings.label = labels_[node];
+        settings.zone = "a";
+        settings.api = addresses_[node];
+        settings.mesh = peer_mesh_[node];
+        for (std::size_t peer = 0; peer < labels_.size(); ++peer) {
+            if (peer != node)
+                settings.peers.push_back({labels_[peer], "a",
+                                          node == relayed_node_ || peer == relayed_node_
+                                              ? peer_relays_[peer]->address
+                                              : peer_mesh_[peer]});
         }
-        s.cloud = cloud.address;
-        s.state = i == relayed_ ? state_relay_->address : state.address;
-        for (const char* t : {"x", "y", "z"}) s.teams[t] = {t, 8, 16, 0, 0};
-        s.report_s = 0.1;
-        s.lease_s = world.lease_s;
-        s.cancel_s = cancel_s;
-        s.state_rps = 2000;
-        s.state_write_rps = 500;
-        s.value_kb = 16;
-        s.txn_ops = 6;
-        s.cloud_rps = 50;
-        s.list_lag_s = 0.2;
-        s.memory_mb = 256;
-        s.max_connections = 1000;
-        s.skew_ms = 5;
-        if (adjust) adjust(s);
-        controller::Tunables t = controller::parse_tunables({}, s);
-        t.store_lease_ttl = Micros{1'200'000};
-        t.store_lease_renewal_interval = Micros{250'000};
-        t.lease_extension_ttl = Micros{700'000};
-        t.silent_release = silent_release;
-        services_[i] = std::make_unique<controller::Controller>(loop, s, t);
-        services_[i]->start();
-    }
-    void kill(std::size_t i) { services_[i].reset(); }
-    // From the store and the other nodes, but not from its workers.
-    void cut_store(bool on) { state_relay_->cut = on; }
+        settings.cloud = cloud.address;
+        settings.state = node == relayed_node_ ? state_relay_->address : state.address;
+        for (const char* team : {"x", "y", "z"}) settings.teams[team] = {team, 8, 16, 0, 0};
+        settings.report_s = 0.1;
+        settings.lease_s = world.lease_s;
+        settings.cancel_s = cancel_s;
+        settings.state_rps = 2000;
+        settings.state_write_rps = 500;
+        settings.value_kb = 16;
+        settings.txn_ops = 6;
+        settings.cloud_rps = 50;
+        settings.list_lag_s = 0.2;
+        settings.memory_mb = 256;
+        settings.max_connections = 1000;
+        settings.skew_ms = 5;
+        if (adjust) adjust(settings);
+        controller::Tunables tunables = controller::parse_tunables({}, settings);
+        tunables.store_lease_ttl = Micros{1'200'000};
+        tunables.store_lease_renewal_interval = Micros{250'000};
+        tunables.lease_extension_ttl = Micros{700'000};
+        tunables.silent_release = silent_release;
+        controllers_[node] = std::make_unique<controller::Controller>(loop, settings, tunables);
+        controllers_[node]->start();
+    }
+    void kill(std::size_t node) { controllers_[node].reset(); }
+    // Partitions the relayed node from the store, or ends the partition.
+    void cut_store(bool on) { state_relay_->blocked = on; }
+    // Partitions the relayed node from the store and the other nodes, but not from the workers, or ends the
+    // partition.
     void cut_off(bool on) {
-        state_relay_->cut = on;
-        for (auto& r : relays_) r->cut = on;
+        state_relay_->blocked = on;
+        for (auto& relay : peer_relays_) relay->blocked = on;
     }
     std::unique_ptr<WorkerStandIn> worker(std::string id) {
         return std::make_unique<WorkerStandIn>(loop, world, std::move(id), "a", addresses_, labels_);
     }
     const std::vector<std::string>& labels() const { return labels_; }
-    bool up(std::size_t i) const { return services_[i] != nullptr; }
-    io::Address mesh_address(std::size_t i) const { return peer_mesh_[i]; }
+    bool up(std::size_t node) const { return controllers_[node] != nullptr; }
+    io::Address mesh_address(std::size_t node) const { return peer_mesh_[node]; }
 
     Task<std::pair<int, Json>> call(std::size_t node, std::string method, std::string target, Json body) {
-        auto task =
+        auto sending =
             client.send(addresses_[node], std::move(method), std::move(target),
                         body.is_null() ? "" : wire::encode(body), io::steady_now() + Micros{5'000'000});
-        const auto r = co_await std::move(task);
-        co_return std::pair{r.status_or(0), wire::decode(body_of(r)).value_or(Json::object())};
+        const auto response = co_await std::move(sending);
+        co_return std::pair{response.status_or(0), wire::decode(body_of(response)).value_or(Json::object())};
     }
-    // Repeats a call on any live node until it gets the wanted status code, as users do.
+    // Retries a call, as users do, on the live nodes in turn until the response has one of the wanted status
+    // codes. Returns the body.
     Task<Json> insist(std::string method, std::string target, Json body, std::set<int> wanted) {
-        for (std::size_t turn = 0;; ++turn) {
-            const std::size_t node = turn % services_.size();
-            if (services_[node]) {
-                auto task = call(node, method, target, body);
-                auto r = co_await std::move(task);
-                if (wanted.contains(r.first)) co_return r.second;
+        for (std::size_t attempt = 0;; ++attempt) {
+            const std::size_t node = attempt % controllers_.size();
+            if (controllers_[node]) {
+                auto calling = call(node, method, target, body);
+                auto response = co_await std::move(calling);
+                if (wanted.contains(response.first)) co_return response.second;
             }
             co_await loop.sleep(Micros{100'000});
         }
@@ -115,25 +123,25 @@
                 {"stashS", 0.0}};
     }
     Task<void> submit(std::string id, std::string team, std::string form, int tasks) {
-        const Json j = submission(id, team, form, tasks);
-        auto task = insist("POST", "/api/jobs", j, {200, 201});
-        co_await std::move(task);
+        const Json body = submission(id, team, form, tasks);
+        auto submitting = insist("POST", "/api/jobs", body, {200, 201});
+        co_await std::move(submitting);
     }
-    // Submits a job and waits until all its tasks run, and nothing else.
+    // Submits a job and waits until all its tasks run. Requires that no other task runs.
     Task<void> run(std::string id, std::string team, std::string form, int tasks) {
-        auto step = submit(std::move(id), std::move(team), std::move(form), tasks);
-        co_await std::move(step);
-        const std::function<bool()> reached = [&] {
+        auto submitting = submit(std::move(id), std::move(team), std::move(form), tasks);
+        co_await std::move(submitting);
+        const std::function<bool()> all_run = [&] {
             return world.running.size() == static_cast<std::size_t>(tasks);
         };
-        auto waiting = until(reached);
+        auto waiting = until(all_run);
         co_await std::move(waiting);
     }
     Task<void> until_status(std::string id, std::string wanted) {
         while (true) {
-            auto task = insist("GET", "/api/jobs/" + id, nullptr, {200});
-            const Json v = co_await std::move(task);
-            if (v["status"] == wanted) co_return;
+            auto polling = insist("GET", "/api/jobs/" + id, nullptr, {200});
+            const Json job = co_await std::move(polling);
+            if (job["status"] == wanted) co_return;
             co_await loop.sleep(Micros{100'000});
         }
     }
@@ -144,24 +152,26 @@
         auto waiting = until_status(std::move(id), "done");
         co_await std::move(waiting);
     }
-    // Requests with commands that the workers have received and kept; see WorkerStandIn::hold_orders.
+    // Returns the number of command requests that the workers hold; see WorkerStandIn::hold_orders.
     std::size_t held_orders() const {
         std::size_t count = 0;
         for (const auto& [id, worker] : cloud.workers) count += worker->recorded_attempts.size();
         return count;
     }
-    // Each of them arrives once more, or late.
+    // Delivers each held command request, late or once more.
     void deliver_held_orders() {
         for (auto& [id, worker] : cloud.workers) {
             for (const auto& request : worker->recorded_attempts) (void)worker->late_orders(request);
         }
     }
-    Task<void> until(std::function<bool()> f) {
-        while (!f()) co_await loop.sleep(Micros{20'000});
+    // Waits until the condition is true.
+    Task<void> until(std::function<bool()> condition) {
+        while (!condition()) co_await loop.sleep(Micros{20'000});
     }
     std::string leader() const {
-        const auto it = state.items.find("h/epoch");
-        return it == state.items.end() ? "" : it->second.value["leader"].get<std::string>();
+        const auto epoch_record = state.items.find("h/epoch");
+        return epoch_record == state.items.end() ? ""
+                                                 : epoch_record->second.value["leader"].get<std::string>();
     }
     std::size_t index(const std::string& label) const {
         return static_cast<std::size_t>(std::find(labels_.begin(), labels_.end(), label) - labels_.begin());
@@ -172,33 +182,36 @@
                    : 0;
     }
 
-    // The story, or a failure if it does not end in time. The bound is a backstop, not a measurement.
-    void play(std::function<Task<void>(Site&)> story) {
+    // Runs the scenario; fails the test if the scenario does not finish within 90 s or a worker reports a
+    // violation. The time limit only guards against a hanging test.
+    void play(std::function<Task<void>(Site&)> scenario) {
         io::Scope scope;
-        bool ended = false;
-        const auto wrap = [](Site& s, std::function<Task<void>(Site&)> f, bool& done) -> Task<void> {
-            auto task = f(s);
-            co_await std::move(task);
+        bool finished = false;
+        const auto run_scenario = [](Site& site, std::function<Task<void>(Site&)> steps,
+                                     bool& done) -> Task<void> {
+            auto running = steps(site);
+            co_await std::move(running);
             done = true;
-            s.loop.stop();
+            site.loop.stop();
         };
-        const auto guard = [](Site& s) -> Task<void> {
-            co_await s.loop.sleep(Micros{90'000'000});
-            s.loop.stop();
+        const auto stop_at_time_limit = [](Site& site) -> Task<void> {
+            co_await site.loop.sleep(Micros{90'000'000});
+            site.loop.stop();
         };
-        scope.spawn(guard(*this));
-        scope.spawn(wrap(*this, std::move(story), ended));
+        scope.spawn(stop_at_time_limit(*this));
+        scope.spawn(run_scenario(*this, std::move(scenario), finished));
         loop.run();
-        EXPECT_TRUE(ended) << "the story did not end";
+        EXPECT_TRUE(finished) << "the scenario did not finish within the time limit";
         EXPECT_TRUE(world.broken_rules.empty()) << world.broken_rules.front();
         scope.cancel();
-        services_.clear();
+        controllers_.clear();
         cloud.workers.clear();
     }
 
-    std::function<void(controller::Settings&)> adjust;  // the settings of nodes that start from now on
+    std::function<void(controller::Settings&)> adjust;  // changes the settings of nodes before they start
     double cancel_s = 10;
-    Micros silent_release{60'000'000};  // leases, not releases, end what is silent here
+    // So long that the tasks of an unresponsive worker end by lease expiry, not by release of its machine.
+    Micros silent_release{60'000'000};
     io::Loop loop;
     WorkerStandIn::World world;
     StateStandIn state;
@@ -209,10 +222,10 @@
     std::vector<std::string> labels_;
     std::vector<io::Address> addresses_;
     std::vector<io::Address> peer_mesh_;
-    std::size_t relayed_ = SIZE_MAX;
+    std::size_t relayed_node_ = SIZE_MAX;  // SIZE_MAX: none
     std::unique_ptr<Relay> state_relay_;
-    std::vector<std::unique_ptr<Relay>> relays_;
-    std::vector<std::unique_ptr<controller::Controller>> services_;
+    std::vector<std::unique_ptr<Relay>> peer_relays_;  // one for each node's mesh address
+    std::vector<std::unique_ptr<controller::Controller>> controllers_;
 };
 
 }  // namespace hatchwind::test
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -1,5 +1,5 @@
-/// Stand-ins for the state service, the cloud and workers, speaking their protocols on loopback. What a
-/// stand-in does is set in its public members, at any time; what it counts is read there.
+/// Fakes of the state service, the cloud and workers that speak their protocols on loopback. Their public
+/// members configure behavior and faults, at any time, and expose counters.
 #pragma once
 
 #include <netinet/in.h>
@@ -20,24 +20,24 @@
 
 using wire::Json;
 
-/// Each test process has a loopback address of its own and counts its ports. A free port that the kernel
-/// named could be taken before somebody listens at it, by another test or by an outgoing connection, which
-/// are given ports at 127.0.0.1.
+/// Returns an address of this process: each test process uses its own loopback IP address and allocates ports
+/// by counting. An ephemeral port picked by the kernel could be taken before the test listens on it, by
+/// another test or by an outgoing connection; these get their ports on 127.0.0.1.
 inline io::Address local(std::uint16_t port) {
     const auto pid = static_cast<std::uint32_t>(::getpid());
     return {0x7f000000U | (0x010000U + pid % 0xfe0000U), port};
 }
-/// A port of local() that nobody in this process has used.
+/// Returns a port of local() that has not been used in this process.
 inline std::uint16_t free_port() {
-    static std::uint16_t last = 10'000;
-    return ++last;
+    static std::uint16_t last_port = 10'000;
+    return ++last_port;
 }
-/// The address as messages write it, "a.b.c.d:port".
+/// Returns the address in the form used in messages, "a.b.c.d:port".
 inline std::string text_of(io::Address address) {
-    std::string out;
+    std::string text;
     for (int shift = 24; shift >= 0; shift -= 8)
-        out += std::to_string(address.ip >> shift & 0xffU) + (shift > 0 ? "." : ":");
-    return out + std::to_string(address.port);
+        text += std::to_string(address.ip >> shift & 0xffU) + (shift > 0 ? "." : ":");
+    return text + std::to_string(address.port);
 }
 
 /// A response with a CBOR body.
@@ -48,64 +48,65 @@
     return response;
 }
 
-/// The value of a key in the query of a target; empty without it.
+/// Returns the value of a query parameter of a request target; empty if there is none.
 inline std::string query(const std::string& target, const std::string& key) {
-    const auto at = target.find(key + "=");
-    if (at == std::string::npos) return "";
-    const auto from = at + key.size() + 1;
-    return target.substr(from, target.find('&', from) - from);
+    const auto position = target.find(key + "=");
+    if (position == std::string::npos) return "";
+    const auto value_start = position + key.size() + 1;
+    return target.substr(value_start, target.find('&', value_start) - value_start);
 }
 
-// The body of a response; empty when there is no response.
+/// Returns the body of a response; empty if there is no response.
 inline std::string body_of(const io::HttpResult& result) { return result ? result->body : std::string{}; }
 
-/// Passes connections on to somebody else until it is cut: then nothing more arrives on either side.
+/// TCP relay to another address. While `blocked` is set, it simulates a network partition: no data is passed
+/// in either direction.
 class Relay {
   public:
-    Relay(io::Loop& loop, io::Address to)
-        : address(local(free_port())), loop_(loop), to_(to), listener_(loop, address) {
+    Relay(io::Loop& loop, io::Address destination)
+        : address(local(free_port())), loop_(loop), destination_(destination), listener_(loop, address) {
         scope_.spawn(serve());
     }
     const io::Address address;
-    bool cut = false;
+    bool blocked = false;
 
   private:
     io::Task<void> serve() {
         while (true) {
             io::Socket socket = co_await listener_.accept();
-            if (!cut) scope_.spawn(join(std::move(socket)));
+            if (!blocked) scope_.spawn(relay_connection(std::move(socket)));
         }
     }
-    io::Task<void> join(io::Socket near) {
-        const io::Micros soon = io::steady_now() + io::Micros{1'000'000};
-        auto task = io::connect(loop_, to_, soon);
-        auto far = co_await std::move(task);
-        if (!far) co_return;
-        auto near_shared = std::make_shared<io::Socket>(std::move(near));
-        auto far_shared = std::make_shared<io::Socket>(std::move(*far));
-        scope_.spawn(pump(near_shared, far_shared));
-        auto back = pump(far_shared, near_shared);
-        co_await std::move(back);
-    }
-    io::Task<void> pump(std::shared_ptr<io::Socket> from, std::shared_ptr<io::Socket> to) const {
+    io::Task<void> relay_connection(io::Socket client) {
+        const io::Micros deadline = io::steady_now() + io::Micros{1'000'000};
+        auto connecting = io::connect(loop_, destination_, deadline);
+        auto server = co_await std::move(connecting);
+        if (!server) co_return;
+        auto shared_client = std::make_shared<io::Socket>(std::move(client));
+        auto shared_server = std::make_shared<io::Socket>(std::move(*server));
+        scope_.spawn(copy_bytes(shared_client, shared_server));
+        auto copying_back = copy_bytes(shared_server, shared_client);
+        co_await std::move(copying_back);
+    }
+    io::Task<void> copy_bytes(std::shared_ptr<io::Socket> source, std::shared_ptr<io::Socket> target) const {
         std::array<char, 16384> buffer;
         while (true) {
-            const io::Micros long_after = io::steady_now() + io::Micros{60'000'000};
-            const auto length = co_await from->read(buffer.data(), buffer.size(), long_after);
-            if (!length || *length == 0 || cut) co_return;
+            const io::Micros idle_deadline = io::steady_now() + io::Micros{60'000'000};
+            const auto length = co_await source->read(buffer.data(), buffer.size(), idle_deadline);
+            if (!length || *length == 0 || blocked) co_return;
             const std::string_view data{buffer.data(), *length};
-            auto sent = to->write(data, long_after);
-            const auto written = co_await std::move(sent);
+            auto writing = target->write(data, idle_deadline);
+            const auto written = co_await std::move(writing);
             if (!written) co_return;
         }
     }
     io::Loop& loop_;
-    io::Address to_;
+    io::Address destination_;
     io::Listener listener_;
     io::Scope scope_;
 };
 
-/// The state service: keys with revisions, transactions, leases and a watch, and the ways in which it fails.
+/// Fake state service: keys with revisions, transactions, leases, watches and injected faults.
 class StateStandIn {
   public:
     explicit StateStandIn(io::Loop& loop)
@@ -114,12 +115,12 @@
           changed_(loop),
           server_(loop, address, {}, [this](io::HttpRequest request) { return handle(std::move(request)); }) {
         scope_.spawn(server_.serve());
-        scope_.spawn(expire());
+        scope_.spawn(expire_leases());
     }
     const io::Address address;
     bool down = false;
-    bool drop_next_commit_answer = false;  // carried out, but the answer is a 500
-    // Version 14 takes the noexcept move of a Json for one that throws.
+    bool drop_next_commit_answer = false;  // executes the next commit, but answers 500
+    // clang-tidy 14 assumes that the noexcept move of Json may throw.
     // NOLINTNEXTLINE(bugprone-exception-escape)
     struct Item {
         Json value;
@@ -128,33 +129,33 @@
     };
     std::map<std::string, Item> items;
     std::uint64_t revision = 0;
-    std::size_t most_writes = 0;
-    std::uint64_t oldest = 0;  // changes up to it are not kept: whoever watches from before gets 410
-    std::size_t page = 1000;
-    std::function<void(const Json&)> on_commit;           // sees every transaction before it is carried out
-    std::function<io::Micros(const Json&)> answer_after;  // how long a transaction's answer takes
-    std::function<bool(const Json&)> hidden;              // changes that no watch brings
+    std::size_t most_writes = 0;  // maximum number of writes in one transaction so far
+    std::uint64_t oldest = 0;     // watches from earlier revisions get 410
+    std::size_t page_size = 1000;
+    std::function<void(const Json&)> on_commit;  // called with each transaction before it is executed
+    std::function<io::Micros(const Json&)> answer_after;  // delay of a transaction's response
+    std::function<bool(const Json&)> hidden;              // selects changes that watches do not deliver
     enum class Treatment : std::uint8_t {
         carry_out,
-        refuse,       // 503
-        lose_answer,  // carried out, but the answer is a 500
-        hold,         // not carried out, a 500, and kept in `held`
+        refuse,       // not executed, answers 503
+        lose_answer,  // executed, but answers 500
+        hold,         // not executed, answers 500, and kept in `recorded_attempts`
     };
-    std::function<Treatment(const Json&)> treat;  // of transactions
-    std::vector<Json> recorded_attempts;          // late_commit() carries them out
-    io::Micros read_latency{0};                   // of single keys
-    io::Micros watch_latency{0};                  // the answer is as old as that when it arrives
-    io::Micros list_latency{0};                   // likewise a page of keys
-    bool hold_watches = false;
-    std::size_t lists = 0;
-    std::size_t writes = 0;  // puts and deletes carried out
-    // What a transaction may hold; 400 otherwise. No limits at first.
+    std::function<Treatment(const Json&)> treat;  // selects how a transaction is handled
+    std::vector<Json> recorded_attempts;          // can be executed later with late_commit()
+    io::Micros read_latency{0};                   // of reads of a single key
+    io::Micros watch_latency{0};                  // from collecting the changes until the response
+    io::Micros list_latency{0};                   // from reading a page of keys until the response
+    bool hold_watches = false;                    // watches stay open without a response
+    std::size_t lists = 0;                        // number of requests for a page of keys
+    std::size_t writes = 0;                       // number of executed puts and deletes
+    // Limits of a transaction; larger ones get 400. Unlimited by default.
     std::size_t value_bytes_limit = SIZE_MAX;
     std::size_t transaction_limit = SIZE_MAX;
-    std::vector<std::string> oversized;  // what was refused for its size, in words
+    std::vector<std::string> oversized;  // descriptions of the transactions refused for their size
     std::size_t conflicts = 0;
 
-    /// A duplicate of an old transaction arrives; returns the status of its answer.
+    /// Executes a late or duplicated transaction; returns the status of its response.
     int late_commit(const Json& transaction) { return commit(transaction).status; }
 
   private:
@@ -162,32 +163,32 @@
         io::Micros ttl{};
         io::Micros expires_at{};
     };
-    io::Task<void> expire() {
+    io::Task<void> expire_leases() {
         while (true) {
             co_await loop_.sleep(io::Micros{20'000});
             if (down) {
                 for (auto& [id, lease] : store_leases_) lease.expires_at = io::steady_now() + lease.ttl;
                 continue;
             }
-            for (auto it = store_leases_.begin(); it != store_leases_.end();) {
-                if (it->second.expires_at > io::steady_now()) {
-                    ++it;
+            for (auto lease = store_leases_.begin(); lease != store_leases_.end();) {
+                if (lease->second.expires_at > io::steady_now()) {
+                    ++lease;
                     continue;
                 }
-                const auto id = it->first;
-                it = store_leases_.erase(it);
+                const auto id = lease->first;
+                lease = store_leases_.erase(lease);
                 delete_keys_of(id);
             }
         }
     }
     void delete_keys_of(std::uint64_t store_lease) {
-        for (auto it = items.begin(); it != items.end();) {
-            if (it->second.store_lease != store_lease) {
-                ++it;
+        for (auto item = items.begin(); item != items.end();) {
+            if (item->second.store_lease != store_lease) {
+                ++item;
                 continue;
             }
-            log_.push_back({{"delete", it->first}, {"stamp", ++revision}});
-            it = items.erase(it);
+            log_.push_back({{"delete", item->first}, {"stamp", ++revision}});
+            item = items.erase(item);
         }
         changed_.notify_all();
     }
@@ -199,18 +200,18 @@
         }
         if (down) co_return reply(503, {{"error", "trouble"}});
         if (request.target.starts_with("/store?")) {
-            auto out = page_of(request.target);
+            auto response = page_of(request.target);
             ++lists;
             if (list_latency.count() > 0) co_await loop_.sleep(list_latency);
-            co_return out;
+            co_return response;
         }
         if (request.target.starts_with("/store/")) {
             if (read_latency.count() > 0) co_await loop_.sleep(read_latency);
             co_return read(request.target.substr(std::string_view{"/store/"}.size()));
         }
         if (request.target == "/commit") {
-            auto treated = treat_transaction(*wire::decode(request.body));
-            auto response = co_await std::move(treated);
+            auto handling = handle_transaction(*wire::decode(request.body));
+            auto response = co_await std::move(handling);
             co_return response;
         }
         if (request.target == "/grants") co_return acquire_lease(*wire::decode(request.body));
@@ -226,9 +227,9 @@
             if (after < oldest) co_return reply(410);
             const Json changes = changes_after(after, prefix);
             if (!down && !hold_watches && (!changes.empty() || io::steady_now() >= end)) {
-                auto out = reply(200, {{"ledger", revision}, {"log", changes}});
+                auto response = reply(200, {{"ledger", revision}, {"log", changes}});
                 if (watch_latency.count() > 0) co_await loop_.sleep(watch_latency);
-                co_return out;
+                co_return response;
             }
             co_await changed_.wait(down || hold_watches ? io::steady_now() + io::Micros{50'000} : end);
         }
@@ -250,29 +251,29 @@
         bool more = false;
         for (const auto& [key, item] : items) {
             if (!key.starts_with(prefix) || key <= after) continue;
-            more = pairs.size() == page;
+            more = pairs.size() == page_size;
             if (more) break;
             pairs.push_back({{"path", key}, {"v", item.value}, {"stamp", item.mod_revision}});
         }
         return reply(200, {{"pairs", pairs}, {"hasNext", more}, {"ledger", revision}});
     }
     io::HttpResponse read(const std::string& key) const {
-        const auto it = items.find(key);
-        if (it == items.end()) return reply(404, {{"ledger", revision}});
-        return reply(200, {{"path", key}, {"v", it->second.value}, {"stamp", it->second.mod_revision}});
-    }
-    io::Task<io::HttpResponse> treat_transaction(Json transaction) {
-        const Treatment treatment = treat ? treat(transaction) : Treatment::carry_out;
-        if (treatment == Treatment::refuse) co_return reply(503, {{"error", "trouble"}});
-        if (treatment == Treatment::hold) {
+        const auto item = items.find(key);
+        if (item == items.end()) return reply(404, {{"ledger", revision}});
+        return reply(200, {{"path", key}, {"v", item->second.value}, {"stamp", item->second.mod_revision}});
+    }
+    io::Task<io::HttpResponse> handle_transaction(Json transaction) {
+        const Treatment handling = treat ? treat(transaction) : Treatment::carry_out;
+        if (handling == Treatment::refuse) co_return reply(503, {{"error", "trouble"}});
+        if (handling == Treatment::hold) {
             recorded_attempts.push_back(transaction);
             co_return reply(500);
         }
-        auto out = commit(transaction);
-        if (treatment == Treatment::lose_answer) out = reply(500);
-        const io::Micros wait = answer_after ? answer_after(transaction) : io::Micros{0};
-        if (wait.count() > 0) co_await loop_.sleep(wait);
-        co_return out;
+        auto response = commit(transaction);
+        if (handling == Treatment::lose_answer) response = reply(500);
+        const io::Micros delay = answer_after ? answer_after(transaction) : io::Micros{0};
+        if (delay.count() > 0) co_await loop_.sleep(delay);
+        co_return response;
     }
     io::HttpResponse acquire_lease(const Json& body) {
         const io::Micros ttl{body["lifeMs"].get<std::int64_t>() * 1000};
@@ -280,19 +281,19 @@
         return reply(200, {{"tenure", last_store_lease_}});
     }
     io::HttpResponse renew_lease(std::uint64_t id) {
-        const auto it = store_leases_.find(id);
-        if (it == store_leases_.end()) return reply(404);
-        it->second.expires_at = io::steady_now() + it->second.ttl;
+        const auto lease = store_leases_.find(id);
+        if (lease == store_leases_.end()) return reply(404);
+        lease->second.expires_at = io::steady_now() + lease->second.ttl;
         return reply(200);
     }
-    std::string exceeds_limits(const Json& transaction) const {
-        const Json& writes_wanted = transaction["writes"];
+    std::string limit_violation(const Json& transaction) const {
+        const Json& requested_writes = transaction["writes"];
         const Json& conditions = transaction["when"];
-        if (writes_wanted.size() > transaction_limit)
-            return std::to_string(writes_wanted.size()) + " writes: " + writes_wanted.dump();
+        if (requested_writes.size() > transaction_limit)
+            return std::to_string(requested_writes.size()) + " writes: " + requested_writes.dump();
         if (conditions.size() / 4 >= transaction_limit && conditions.size() > 4 * transaction_limit)
             return std::to_string(conditions.size()) + " conditions";
-        for (const auto& write : writes_wanted) {
+        for (const auto& write : requested_writes) {
             if (!write.contains("write")) continue;
             const std::size_t bytes = write["v"].dump().size();
             if (bytes > value_bytes_limit)
@@ -302,7 +303,7 @@
     }
     io::HttpResponse commit(const Json& transaction) {
         if (on_commit) on_commit(transaction);
-        if (const std::string reason = exceeds_limits(transaction); !reason.empty()) {
+        if (const std::string reason = limit_violation(transaction); !reason.empty()) {
             oversized.push_back(reason);
             return reply(400, {{"error", reason}});
         }
@@ -316,23 +317,23 @@
             ++conflicts;
             return reply(409, {{"failed", failed}, {"ledger", revision}});
         }
-        carry_out(transaction["writes"]);
+        apply_writes(transaction["writes"]);
         if (std::exchange(drop_next_commit_answer, false)) return reply(500);
         return reply(200, {{"ledger", revision}});
     }
     Json failed_conditions(const Json& conditions) const {
         Json failed = Json::array();
         for (const auto& condition : conditions) {
-            const auto it = items.find(condition["path"]);
-            const std::uint64_t mod_revision = it == items.end() ? 0 : it->second.mod_revision;
+            const auto item = items.find(condition["path"]);
+            const std::uint64_t mod_revision = item == items.end() ? 0 : item->second.mod_revision;
             if (mod_revision != condition["stamp"].get<std::uint64_t>()) failed.push_back(condition["path"]);
         }
         return failed;
     }
-    void carry_out(const Json& writes_wanted) {
+    void apply_writes(const Json& requested_writes) {
         ++revision;
-        writes += writes_wanted.size();
-        for (const auto& write : writes_wanted) {
+        writes += requested_writes.size();
+        for (const auto& write : requested_writes) {
             if (write.contains("write")) {
                 items[write["write"]] = {write["v"], revision, write.value("tenure", std::uint64_t{0})};
                 log_.push_back({{"write", write["write"]}, {"v", write["v"]}, {"stamp", revision}});
@@ -352,56 +353,60 @@
     io::HttpServer server_;
 };
 
-/// A worker that runs its tasks for a configured time, and checks that no task runs on two of them.
+/// Fake worker. Runs its tasks for a configured time, and reports tasks that run on two workers at once or
+/// start before their dependencies have completed.
 class WorkerStandIn {
   public:
+    /// State shared by all fake workers.
     struct World {
         std::map<std::string, std::string> running;  // task -> machine
-        std::map<std::string, int> started;
-        std::map<std::string, int> completed;
-        std::vector<std::string> broken_rules;
+        std::map<std::string, int> started;          // number of starts by task
+        std::map<std::string, int> completed;        // number of completions by task
+        std::vector<std::string> broken_rules;       // descriptions of starts that must not happen
         io::Micros run_time{300'000};
-        std::set<std::string> endless;  // jobs whose tasks never end
-        // Tasks that must have completed before any task of a job starts.
+        std::set<std::string> endless;  // jobs whose tasks never complete
+        // By job: tasks that must have completed before any task of the job starts.
         std::map<std::string, std::vector<std::string>> needs;
         double lease_s = 3;
     };
-    WorkerStandIn(io::Loop& loop, World& w, std::string id, std::string zone, std::vector<io::Address> nodes,
-                  std::vector<std::string> labels)
+    WorkerStandIn(io::Loop& loop, World& world, std::string id, std::string zone,
+                  std::vector<io::Address> nodes, std::vector<std::string> labels)
         : loop_(loop),
-          world_(w),
+          world_(world),
           id_(std::move(id)),
           zone_(std::move(zone)),
           nodes_(std::move(nodes)),
           labels_(std::move(labels)),
           address_(local(free_port())),
           client_(loop),
-          began_(io::steady_now()),
+          lease_start_(io::steady_now()),
           server_(loop, address_, {},
                   [this](io::HttpRequest request) { return handle(std::move(request)); }) {
         scope_.spawn(server_.serve());
-        scope_.spawn(report());
-        scope_.spawn(run());
+        scope_.spawn(send_heartbeats());
+        scope_.spawn(complete_tasks());
     }
     ~WorkerStandIn() {
-        for (auto& [name, t] : tasks_) leave(name, t);
+        for (auto& [name, task] : tasks_) remove_from_running(name, task);
     }
     const std::string& id() const { return id_; }
     io::Address address() const { return address_; }
     const std::string& zone() const { return zone_; }
     std::uint64_t fencing_token() const { return fencing_token_; }
-    std::size_t home() const { return at_ % nodes_.size(); }  // the controller that gets its heartbeats
-    bool hung = false;
-    bool deaf = false;            // its heartbeats arrive, but neither answers nor commands reach it
-    bool hold_orders = false;     // requests are kept, and get no answer
-    io::Micros order_latency{0};  // from the arrival of commands until they are carried out
+    // Returns the index of the controller that receives the heartbeats.
+    std::size_t home() const { return controller_ % nodes_.size(); }
+    bool hung = false;            // sends no heartbeats, answers no requests and completes no tasks
+    bool deaf = false;            // heartbeats are delivered, but neither responses nor commands are received
+    bool hold_orders = false;     // command requests are kept in `recorded_attempts` and not answered
+    io::Micros order_latency{0};  // from the arrival of commands until their execution
     std::vector<Json> recorded_attempts;
     Json last_report;
-    std::uint64_t incarnation() const { return session_; }
-    // A duplicate of a command request arrives late.
-    bool late_orders(const Json& b) {
-        if (b["baton"].get<std::uint64_t>() < fencing_token_ || b["stint"] != session_) return false;
-        execute(b["calls"]);
+    std::uint64_t incarnation() const { return incarnation_; }
+    // Delivers a late or duplicated command request. Returns false if it was rejected as fenced.
+    bool late_orders(const Json& request) {
+        if (request["baton"].get<std::uint64_t>() < fencing_token_ || request["stint"] != incarnation_)
+            return false;
+        execute(request["calls"]);
         return true;
     }
 
@@ -409,36 +414,42 @@
     struct TaskState {
         std::uint64_t attempt = 0;
         std::string state, cause;
-        io::Micros until{};
+        io::Micros completes_at{};
     };
-    void leave(const std::string& name, TaskState& t) {
-        if (t.state == "running" && world_.running[name] == id_) world_.running.erase(name);
-    }
-    Json describe() {
-        Json legs = Json::array();
-        for (const auto& [name, t] : tasks_) {
-            Json l{{"leg", name}, {"try", t.attempt}, {"status", t.state}};
-            if (!t.cause.empty()) l["cause"] = t.cause;
-            legs.push_back(l);
+    void remove_from_running(const std::string& name, TaskState& task) {
+        if (task.state == "running" && world_.running[name] == id_) world_.running.erase(name);
+    }
+    Json heartbeat() {
+        Json tasks = Json::array();
+        for (const auto& [name, task] : tasks_) {
+            Json entry{{"leg", name}, {"try", task.attempt}, {"status", task.state}};
+            if (!task.cause.empty()) entry["cause"] = task.cause;
+            tasks.push_back(entry);
         }
-        return {{"perch", id_},        {"address", text_of(address_)},
-                {"build", "c4"},       {"roost", zone_},
-                {"borrowed", false},   {"stint", session_},
-                {"tick", ++tick_},     {"baton", fencing_token_},
-                {"warningS", nullptr}, {"legs", legs}};
+        return {{"perch", id_},
+                {"address", text_of(address_)},
+                {"build", "c4"},
+                {"roost", zone_},
+                {"borrowed", false},
+                {"stint", incarnation_},
+                {"tick", ++heartbeat_sequence_},
+                {"baton", fencing_token_},
+                {"warningS", nullptr},
+                {"legs", tasks}};
     }
     void execute(const Json& calls) {
         for (const auto& call : calls) {
             const std::string name = call["leg"];
             const auto attempt = call["try"].get<std::uint64_t>();
-            const auto it = tasks_.find(name);
+            const auto task = tasks_.find(name);
             if (call["call"] == "start") {
-                if (it != tasks_.end() && (it->second.attempt == attempt || it->second.state != "exited"))
+                if (task != tasks_.end() &&
+                    (task->second.attempt == attempt || task->second.state != "exited"))
                     continue;
                 start_task(name, attempt);
-            } else if (it != tasks_.end() && it->second.attempt == attempt) {
-                if (call["call"] == "halt") stop_task(name, it->second);
-                if (call["call"] == "reap" && it->second.state == "exited") tasks_.erase(it);
+            } else if (task != tasks_.end() && task->second.attempt == attempt) {
+                if (call["call"] == "halt") stop_task(name, task->second);
+                if (call["call"] == "reap" && task->second.state == "exited") tasks_.erase(task);
             }
         }
     }
@@ -446,9 +457,9 @@
         if (world_.running.contains(name)) world_.broken_rules.push_back("ran_twice " + name);
         for (const auto& dependency : world_.needs[name.substr(0, name.find('/'))]) {
             if (world_.completed[dependency] != 0) continue;
-            std::string broken = "too_early " + name;
-            broken += " before " + dependency;
-            world_.broken_rules.push_back(std::move(broken));
+            std::string violation = "too_early " + name;
+            violation += " before " + dependency;
+            world_.broken_rules.push_back(std::move(violation));
         }
         world_.running[name] = id_;
         ++world_.started[name];
@@ -456,72 +467,75 @@
     }
     void stop_task(const std::string& name, TaskState& task) {
         if (task.state == "exited") return;
-        leave(name, task);
+        remove_from_running(name, task);
         task.state = "exited";
         task.cause = "stopped";
     }
-    io::Task<io::HttpResponse> handle(io::HttpRequest q) {
+    io::Task<io::HttpResponse> handle(io::HttpRequest request) {
         while (hung || deaf) co_await loop_.sleep(io::Micros{20'000});
-        if (hold_orders && q.target == "/orders") {
-            recorded_attempts.push_back(*wire::decode(q.body));
+        if (hold_orders && request.target == "/orders") {
+            recorded_attempts.push_back(*wire::decode(request.body));
             while (hold_orders) co_await loop_.sleep(io::Micros{20'000});
-            co_await loop_.sleep(io::Micros{3'000'000});  // beyond the caller's patience
+            co_await loop_.sleep(io::Micros{3'000'000});  // longer than the caller's time-out
         }
-        if (order_latency.count() > 0 && q.target == "/orders") co_await loop_.sleep(order_latency);
-        if (q.target == "/status") co_return reply(200, describe());
-        const auto b = wire::decode(q.body);
-        if (!b || !b->contains("baton") || !b->contains("stint")) co_return reply(400);
-        const auto fencing_token = (*b)["baton"].get<std::uint64_t>();
-        if (fencing_token < fencing_token_ || (*b)["stint"] != session_) co_return reply(409, describe());
+        if (order_latency.count() > 0 && request.target == "/orders") co_await loop_.sleep(order_latency);
+        if (request.target == "/status") co_return reply(200, heartbeat());
+        const auto body = wire::decode(request.body);
+        if (!body || !body->contains("baton") || !body->contains("stint")) co_return reply(400);
+        const auto fencing_token = (*body)["baton"].get<std::uint64_t>();
+        if (fencing_token < fencing_token_ || (*body)["stint"] != incarnation_)
+            co_return reply(409, heartbeat());
         fencing_token_ = fencing_token;
-        execute((*b)["calls"]);
-        co_return reply(200, describe());
+        execute((*body)["calls"]);
+        co_return reply(200, heartbeat());
     }
-    io::Task<void> report() {
+    io::Task<void> send_heartbeats() {
         while (true) {
             co_await loop_.sleep(io::Micros{100'000});
             while (hung) co_await loop_.sleep(io::Micros{20'000});
-            const auto sent = io::steady_now();
-            if (sent - began_ > io::Micros{static_cast<std::int64_t>(world_.lease_s * 1e6)})
-                begin_incarnation(sent);
-            last_report = describe();
-            auto task = client_.send(nodes_[at_ % nodes_.size()], "POST", "/hello", wire::encode(last_report),
-                                     sent + io::Micros{700'000});
-            auto r = co_await std::move(task);
-            if (deaf) r = io::HttpError::timed_out;
-            const auto v = r.has_status(200) || r.has_status(421) ? wire::decode(r->body) : std::nullopt;
-            if (r.has_status(200) && v && (*v)["baton"].get<std::uint64_t>() >= fencing_token_) {
-                fencing_token_ = (*v)["baton"].get<std::uint64_t>();
-                began_ = sent;
-                execute((*v)["calls"]);
+            const auto sent_at = io::steady_now();
+            if (sent_at - lease_start_ > io::Micros{static_cast<std::int64_t>(world_.lease_s * 1e6)})
+                begin_incarnation(sent_at);
+            last_report = heartbeat();
+            auto sending = client_.send(nodes_[controller_ % nodes_.size()], "POST", "/hello",
+                                        wire::encode(last_report), sent_at + io::Micros{700'000});
+            auto response = co_await std::move(sending);
+            if (deaf) response = io::HttpError::timed_out;
+            const auto body = response.has_status(200) || response.has_status(421)
+                                  ? wire::decode(response->body)
+                                  : std::nullopt;
+            if (response.has_status(200) && body && (*body)["baton"].get<std::uint64_t>() >= fencing_token_) {
+                fencing_token_ = (*body)["baton"].get<std::uint64_t>();
+                lease_start_ = sent_at;
+                execute((*body)["calls"]);
                 continue;
             }
-            ++at_;
-            if (r.has_status(421) && v && v->contains("home")) follow_redirect((*v)["home"]);
+            ++controller_;
+            if (response.has_status(421) && body && body->contains("home")) follow_redirect((*body)["home"]);
         }
     }
-    // Its lease has expired: it ends all its tasks.
+    // Called when the lease has expired: ends all tasks.
     void begin_incarnation(io::Micros monotonic_now) {
-        for (auto& [name, task] : tasks_) leave(name, task);
+        for (auto& [name, task] : tasks_) remove_from_running(name, task);
         tasks_.clear();
-        ++session_;
-        began_ = monotonic_now;
+        ++incarnation_;
+        lease_start_ = monotonic_now;
     }
     void follow_redirect(const std::string& label) {
-        const auto it = std::find(labels_.begin(), labels_.end(), label);
-        if (it != labels_.end()) at_ = static_cast<std::size_t>(it - labels_.begin());
+        const auto found = std::find(labels_.begin(), labels_.end(), label);
+        if (found != labels_.end()) controller_ = static_cast<std::size_t>(found - labels_.begin());
     }
-    io::Task<void> run() {
+    io::Task<void> complete_tasks() {
         while (true) {
             co_await loop_.sleep(io::Micros{20'000});
             if (hung) continue;
-            for (auto& [name, t] : tasks_) {
-                if (t.state != "running" || t.until > io::steady_now() ||
+            for (auto& [name, task] : tasks_) {
+                if (task.state != "running" || task.completes_at > io::steady_now() ||
                     world_.endless.contains(name.substr(0, name.find('/'))))
                     continue;
-                leave(name, t);
-                t.state = "exited";
-                t.cause = "done";
+                remove_from_running(name, task);
+                task.state = "exited";
+                task.cause = "done";
                 ++world_.completed[name];
             }
         }
@@ -536,29 +550,30 @@
     io::HttpClient client_;
     io::Scope scope_;
     std::map<std::string, TaskState> tasks_;
-    std::uint64_t session_ = 1, tick_ = 0, fencing_token_ = 0;
-    std::size_t at_ = 0;
-    io::Micros began_;
+    std::uint64_t incarnation_ = 1, heartbeat_sequence_ = 0, fencing_token_ = 0;
+    std::size_t controller_ =
+        0;  // modulo the number of nodes: index of the controller that gets the heartbeats
+    io::Micros lease_start_;
     io::HttpServer server_;
 };
 
-/// The cloud, with one machine type and room for a few instances; it fills a request once, and starts a
-/// worker for it.
+/// Fake cloud with one machine type and capacity for a few instances. Fulfills each request id once, by
+/// starting a fake worker.
 class CloudStandIn {
   public:
     using MakeWorker = std::function<std::unique_ptr<WorkerStandIn>(std::string id, std::string zone)>;
-    CloudStandIn(io::Loop& loop, MakeWorker make)
+    CloudStandIn(io::Loop& loop, MakeWorker make_worker)
         : address(local(free_port())),
-          make_(std::move(make)),
+          make_worker_(std::move(make_worker)),
           server_(loop, address, {}, [this](io::HttpRequest request) { return handle(std::move(request)); }) {
         scope_.spawn(server_.serve());
     }
     const io::Address address;
     std::map<std::string, std::unique_ptr<WorkerStandIn>> workers;
-    double cores = 4.0;  // of the only machine type, as the catalog says
+    double cores = 4.0;  // CPU cores of the machine type in the catalog
 
   private:
-    static constexpr std::size_t kMostInstances = 8;
+    static constexpr std::size_t kMaxInstances = 8;
 
     io::Task<io::HttpResponse> handle(io::HttpRequest request) {
         const auto body = wire::decode(request.body);
@@ -585,11 +600,11 @@
     }
     io::HttpResponse start_instance(const Json& request) {
         const bool repeated = !filled_requests_.insert(request["ask"]).second;
-        if (repeated || workers.size() >= kMostInstances || request["borrowed"].get<bool>())
+        if (repeated || workers.size() >= kMaxInstances || request["borrowed"].get<bool>())
             return reply(503, {{"error", "no capacity"}});
-        const std::string number = std::to_string(++last_);
+        const std::string number = std::to_string(++last_instance_);
         const std::string id = "n-" + std::string(6 - std::min<std::size_t>(6, number.size()), '0') + number;
-        workers[id] = make_(id, request["roost"]);
+        workers[id] = make_worker_(id, request["roost"]);
         return reply(200, {{"perches", {id}}});
     }
     io::HttpResponse inventory() const {
@@ -606,9 +621,9 @@
         return reply(200, {{"perches", list}, {"hasNext", false}});
     }
 
-    MakeWorker make_;
+    MakeWorker make_worker_;
     std::set<std::string> filled_requests_;
-    int last_ = 0;  // number of the last instance
+    int last_instance_ = 0;  // number of the instance started last
     io::Scope scope_;
     io::HttpServer server_;
 };
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,5 +1,5 @@
-/// Builders shared by the tests of decisions: jobs, machines, heartbeats and small clusters. Times are of one
-/// clock that starts at an arbitrary value and stands still unless the test moves it.
+/// Builders shared by unit tests: jobs, machines, heartbeats and small clusters. All times come from one
+/// simulated clock that starts at an arbitrary value and advances only when the test sets it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,14 +16,14 @@
 
 namespace hatchwind::test {
 
-/// Runs a RapidCheck property inside a GoogleTest case; the seed comes from RC_PARAMS, so every run is the
-/// same.
+/// Checks a RapidCheck property within a GoogleTest case. The seed comes from RC_PARAMS, which makes runs
+/// reproducible.
 template <typename Property>
 void holds(const std::string& description, Property&& property) {
     EXPECT_TRUE(rc::check(description, std::forward<Property>(property)));
 }
 
-/// An ordinary job array; each task needs as many gigabytes as CPUs and may run on spot instances.
+/// Builds a job array. Each task requests as many gigabytes as CPUs and may run on spot instances.
 inline core::Job job(const std::string& id, const std::string& team, std::uint32_t tasks, double cpus) {
     core::Job built;
     built.id = id;
@@ -39,7 +39,8 @@
     return built;
 }
 
-/// Machine types "small" with 4 CPUs and "big" with 16, both in the zones "a" and "b".
+/// Builds a catalog with the machine types "small" (4 CPUs) and "big" (16 CPUs), both in the zones "a" and
+/// "b".
 inline core::Catalog catalog() {
     core::Catalog types;
     for (const auto& [name, cpus, price] : {std::tuple{"small", 4.0, 0.2}, std::tuple{"big", 16.0, 0.8}}) {
@@ -56,7 +57,7 @@
     return types;
 }
 
-/// The first heartbeat of a machine without tasks.
+/// Builds the first heartbeat of a machine without tasks.
 inline core::WorkerHeartbeat heartbeat(const std::string& machine, const std::string& type,
                                        const std::string& zone, bool spot = false) {
     core::WorkerHeartbeat built;
@@ -71,7 +72,7 @@
     return built;
 }
 
-/// An attempt as a heartbeat lists it.
+/// Builds the status of an attempt as listed in a heartbeat.
 inline core::TaskStatus task_status(const std::string& job, std::uint32_t task, std::uint64_t attempt,
                                     core::TaskState state = core::TaskState::running) {
     core::TaskStatus status;
@@ -82,26 +83,27 @@
     return status;
 }
 
-/// What one controller knows that owns the shards of all teams.
+/// The state of a single controller that owns the shards of all teams.
 struct Cluster {
     core::Catalog types = catalog();
     std::map<std::string, core::Team> teams;
     std::vector<core::Objective> objectives;
     core::JobTable job_table;
     core::ClusterView cluster_view;
-    core::Micros now{100'000'000};  ///< of both clocks
+    core::Micros now{100'000'000};  ///< of the monotonic and the wall clock
 
-    /// Of all machines, with those unresponsive that sent no heartbeat for 10 s; or with that availability.
+    /// Returns the free capacity of all machines under the given availability. By default, machines without a
+    /// heartbeat for 10 s are unresponsive.
     core::FreeCapacity free_capacity(const core::Availability* availability = nullptr) const {
-        core::Availability plain;
-        plain.now = now;
-        plain.silent_after = core::Micros{10'000'000};
+        core::Availability default_availability;
+        default_availability.now = now;
+        default_availability.silent_after = core::Micros{10'000'000};
         return core::FreeCapacity::build(cluster_view, job_table, types,
-                                         availability == nullptr ? plain : *availability);
+                                         availability == nullptr ? default_availability : *availability);
     }
 };
 
-/// A placement pass over all teams of the cluster, which has to outlive it; so has `pipelines`, if given.
+/// Builds the input of a placement pass over all teams. The cluster and `pipelines` must outlive it.
 inline core::PlacementInput placement_input(const Cluster& cluster,
                                             const core::PipelineSchedule* pipelines = nullptr) {
     core::PlacementInput input;
@@ -116,7 +118,7 @@
     return input;
 }
 
-/// A plan of the leader for the cluster, which has to outlive it; so has `pipelines`, if given.
+/// Builds the input of the leader's scale-out plan. The cluster and `pipelines` must outlive it.
 inline core::ScaleOutInput scale_out_input(const Cluster& cluster,
                                            const core::PipelineSchedule* pipelines = nullptr) {
     core::ScaleOutInput input;
@@ -131,7 +133,7 @@
     return input;
 }
 
-/// Draws a small cluster: machines, jobs, and some of their tasks running within every rule of placement.
+/// Draws a random small cluster: machines, jobs and running tasks that respect all placement constraints.
 class ClusterGenerator {
   public:
     Cluster draw() {
@@ -140,7 +142,7 @@
         const int machines = *rc::gen::inRange(1, 9);
         for (int i = 0; i < machines; ++i) draw_machine("n-" + std::to_string(100 + i));
         const int jobs = *rc::gen::inRange(0, 8);
-        for (int i = 0; i < jobs; ++i) draw_tasks_of(draw_job("req-" + std::to_string(i)));
+        for (int i = 0; i < jobs; ++i) draw_tasks(draw_job("req-" + std::to_string(i)));
         for (const auto& [id, machine] : machines_)
             cluster_.cluster_view.apply(machine.heartbeat, cluster_.now, cluster_.now);
         return std::move(cluster_);
@@ -173,19 +175,19 @@
         return drawn;
     }
 
-    void draw_tasks_of(const core::Job& job) {
+    void draw_tasks(const core::Job& job) {
         core::Chunk chunk;
         core::ZoneUse zones;
         for (std::uint32_t task = 0; task < job.tasks; ++task) {
             if (*rc::gen::inRange(0, 2) == 0) continue;
-            run_where_allowed(job, task, chunk, zones);
+            place_on_first_allowed_machine(job, task, chunk, zones);
         }
         chunk.mod_revision = ++revision_;
         if (!chunk.open.empty()) cluster_.job_table.put_chunk(job.id, 0, chunk);
     }
 
-    void run_where_allowed(const core::Job& job, std::uint32_t task, core::Chunk& chunk,
-                           core::ZoneUse& zones) {
+    void place_on_first_allowed_machine(const core::Job& job, std::uint32_t task, core::Chunk& chunk,
+                                        core::ZoneUse& zones) {
         core::Resources team_use = cluster_.job_table.team_use(job.team);
         team_use += job.resources * static_cast<double>(chunk.open.size() + 1);
         if (team_use.cpus > cluster_.teams[job.team].cpus_max) return;
@@ -208,7 +210,7 @@
     core::Revision revision_ = 0;
 };
 
-/// Within a RapidCheck property: a cluster of ClusterGenerator.
+/// Draws a cluster with ClusterGenerator. Only for use within a RapidCheck property.
 inline Cluster draw_cluster() { return ClusterGenerator().draw(); }
 
 }  // namespace hatchwind::test
--- a/tests/wire_store_test.cpp
+++ b/tests/wire_store_test.cpp
@@ -1,5 +1,5 @@
-// Messages of the store and the record of a live controller; and what users read about a submission that
-// could not be decoded.
+// Encoding and decoding of store messages and member records, and the error responses to submissions that
+// cannot be decoded.
 #include <gtest/gtest.h>
 
 #include "wire/records.hpp"
@@ -30,8 +30,9 @@
 
 TEST(StoreMessages, AMissingKeyIsAnsweredWithTheRevisionOfTheStore) {
     EXPECT_EQ(*wire::parse_revision({{"ledger", 412U}}), 412U);
-    for (const Json& bad : {Json::object(), Json{{"ledger", "412"}}, Json{{"ledger", nullptr}}, Json(412)})
-        EXPECT_EQ(wire::parse_revision(bad).error().field, "ledger") << bad;
+    for (const Json& invalid :
+         {Json::object(), Json{{"ledger", "412"}}, Json{{"ledger", nullptr}}, Json(412)})
+        EXPECT_EQ(wire::parse_revision(invalid).error().field, "ledger") << invalid;
 }
 
 TEST(StoreMessages, ACommitResponseTellsRevisionAndFailedConditions) {
@@ -99,14 +100,14 @@
 }
 
 TEST(RefusedSubmissions, AreAnsweredWithTheNameOfTheFirstWrongField) {
-    const auto answer = [](const Json& body) {
+    const auto response_to = [](const Json& body) {
         return wire::error_answer(wire::parse_submission(body).error()).dump();
     };
-    EXPECT_EQ(answer(Json::array()), R"({"error":"invalid field body"})");
-    EXPECT_EQ(answer(Json::object()), R"({"error":"invalid field id"})");
-    EXPECT_EQ(answer({{"id", "job-1"}, {"flock", 3}}), R"({"error":"invalid field id"})");
-    EXPECT_EQ(answer({{"id", "req-1"}, {"crew", 3}}), R"({"error":"invalid field flock"})");
-    EXPECT_EQ(answer({{"id", "req-1"}, {"flock", "a"}, {"crew", "b"}, {"form", "sweeps"}}),
+    EXPECT_EQ(response_to(Json::array()), R"({"error":"invalid field body"})");
+    EXPECT_EQ(response_to(Json::object()), R"({"error":"invalid field id"})");
+    EXPECT_EQ(response_to({{"id", "job-1"}, {"flock", 3}}), R"({"error":"invalid field id"})");
+    EXPECT_EQ(response_to({{"id", "req-1"}, {"crew", 3}}), R"({"error":"invalid field flock"})");
+    EXPECT_EQ(response_to({{"id", "req-1"}, {"flock", "a"}, {"crew", "b"}, {"form", "sweeps"}}),
               R"({"error":"invalid field form"})");
     EXPECT_EQ(wire::error_answer("unknown team").dump(), R"({"error":"unknown team"})");
 }
--- a/tests/worker_state.hpp
+++ b/tests/worker_state.hpp
@@ -1,4 +1,4 @@
-/// The state objects of one controller without peers, as far as leases and heartbeats go.
+/// Fixture with the state objects for worker leases and heartbeats of one controller without peers.
 #pragma once
 
 #include <optional>
@@ -21,7 +21,7 @@
 struct WorkerState {
     explicit WorkerState(controller::Settings configured) : settings(std::move(configured)) {}
 
-    /// A peer answered that heartbeat of the worker at that time of day.
+    /// Applies a peer's report that it answered the heartbeat at the wall-clock time `answered_at`.
     void heartbeat_answered_by_peer(core::WorkerHeartbeat heartbeat, core::Micros answered_at) {
         workers.apply_peer_status({std::move(heartbeat), answered_at.count(), {}, false});
     }
