--- a/src/workers/command_sender.cpp
+++ b/src/workers/command_sender.cpp
@@ -18,7 +18,7 @@
 namespace {
 constexpr Micros kCommandTimeout{2'500'000};
 constexpr std::size_t kMaxQueuedCommands = 256;  // for one machine
-constexpr int kNoResponse = 0;                   // as a status, in the log
+constexpr int kNoResponse = 0;                   // logged as the status
 }  // namespace
 
 void CommandSender::forget_earlier_epochs() {
@@ -34,7 +34,7 @@
     const std::uint64_t epoch = epoch_number();
     CommandQueue& queue = queues_[machine];
     if (queue.incarnation != incarnation || queue.epoch != epoch) {
-        // Commands end with the incarnation that they were meant for, and with the epoch they were issued in.
+        // Queued commands are valid only for the incarnation and the epoch that they were issued for.
         resolve_start_copies(queue.commands, queue.epoch);
         queue.commands.clear();
         queue.incarnation = incarnation;
@@ -76,41 +76,43 @@
 void CommandSender::handle_reply(const std::string& machine, std::uint64_t epoch,
                                  const std::vector<core::WorkerCommand>& commands,
                                  const io::HttpResult& reply) {
-    // A conflict is a higher fencing token or another incarnation: refused, but answered.
+    // With a conflict the worker refuses the commands, because it knows a higher fencing token or has another
+    // incarnation. That is an answer too.
     const bool answered =
         reply.has_status(io::http_status::kOk) || reply.has_status(io::http_status::kConflict);
-    // This copy of each: another one that got no answer may still arrive.
+    // Resolves only the copies in this request; other unanswered copies may still arrive.
     if (answered || reply.never_sent()) resolve_start_copies(commands, epoch);
     if (answered) {
         context_.workers.handle_response_body(reply->body);
         context_.signals.scheduling_needed.notify_all();
         return;
     }
-    // Without a free socket of this controller's own the machine was not asked: banned for that, live
-    // machines of a large fleet got no tasks after a failover.
+    // If this controller's connection pool is exhausted, the request was not sent. Counting it as unanswered
+    // would exclude live machines of a large fleet from new tasks after a failover.
     if (!reply.has_error(io::HttpError::pool_exhausted))
         context_.probes.record_unanswered(machine, steady_now());
     spdlog::debug("event=command_unanswered machine={} status={} commands={}", machine,
                   reply.status_or(kNoResponse), commands.size());
 }
 
-// A stop behind it in the same request ends what the start begins: such a pair makes the worker know the
-// attempt as exited, so that a late copy of the start changes nothing.
+// A start of a cancelled or held job is allowed only if a stop of the same attempt follows in the same
+// request. The pair makes the worker record the attempt as exited, so that a late copy of the start has no
+// effect.
 bool CommandSender::is_forbidden(const CommandQueue& queue, std::size_t position) const {
     const core::WorkerCommand& command = queue.commands[position];
     if (command.kind != core::CommandKind::start) return false;
     const core::JobEntry* entry = context_.replicated.job_table().find(command.job);
     const bool cancelled = entry != nullptr && entry->job.cancelled;
     if (!cancelled && !context_.holds.holds(command.job, steady_now())) return false;
-    const auto behind = queue.commands.begin() + static_cast<std::ptrdiff_t>(position) + 1;
-    return std::none_of(behind, queue.commands.end(), [&](const core::WorkerCommand& later) {
+    const auto first_later = queue.commands.begin() + static_cast<std::ptrdiff_t>(position) + 1;
+    return std::none_of(first_later, queue.commands.end(), [&](const core::WorkerCommand& later) {
         return later.kind == core::CommandKind::stop && later.job == command.job &&
                later.task == command.task && later.attempt == command.attempt;
     });
 }
 
 void CommandSender::drop_forbidden_starts(CommandQueue& queue) {
-    // From the back, so that what is erased moves nothing that has yet to be looked at.
+    // Iterates from the back, so that erasing a command does not move those still to be checked.
     for (std::size_t i = queue.commands.size(); i-- > 0;) {
         if (!is_forbidden(queue, i)) continue;
         const core::WorkerCommand& start = queue.commands[i];
@@ -135,7 +137,7 @@
 }
 
 Task<void> CommandSender::send(std::string machine) {
-    // Commands of the same turn of the loop go out together.
+    // Lets commands of the same event loop iteration join this request.
     co_await context_.loop.yield();
     while (true) {
         auto queue = queues_.find(machine);
@@ -143,7 +145,7 @@
         const core::MachineView* view = context_.workers.cluster_view().find(machine);
         const auto address = view == nullptr ? std::nullopt : io::parse_address(view->last_heartbeat.address);
         if (queue->second.commands.empty() || !address || !context_.leadership.holds_leadership()) {
-            // Never sent, so no copy of them can arrive.
+            // These copies were never sent, so none of them can arrive.
             resolve_start_copies(queue->second.commands, queue->second.epoch);
             queues_.erase(queue);
             co_return;
--- a/src/workers/command_sender.hpp
+++ b/src/workers/command_sender.hpp
@@ -1,8 +1,9 @@
-/// Sends commands to workers: one queue for each machine, commands of the same turn of the loop in one
-/// request.
+/// Sends commands to workers. Each machine has a queue; commands that are queued in the same iteration of the
+/// event loop go out in one request.
 ///
-/// Owns the queues and the record of starts without an answer. Both are memory only and end with their epoch
-/// and the worker's incarnation: reconciliation sends again what is recorded and not seen.
+/// Owns the queues and the record of unanswered starts. Both are kept in memory only and are discarded with
+/// the epoch and the worker incarnation that they belong to: reconciliation repeats the commands for attempts
+/// that the store records and the worker does not report.
 #pragma once
 
 #include <compare>
@@ -24,7 +25,7 @@
 
 namespace hatchwind::controller {
 
-/// What sending reads, and what it changes.
+/// The modules that CommandSender reads and changes.
 struct CommandSenderContext {
     io::Loop& loop;
     io::Scope& scope;
@@ -37,18 +38,19 @@
     const StartHolds& holds;
 };
 
-/// Commands are sent only while this controller holds its leadership lease.
+/// Sends commands only while this controller holds leadership.
 class CommandSender {
   public:
     explicit CommandSender(const CommandSenderContext& context) : context_(context) {}
 
-    /// Queues a command for that incarnation of the machine's worker. The attempt must be recorded in the
-    /// store. A command beyond the queue's bound is dropped; reconciliation repeats it.
+    /// Queues a command for the given incarnation of the machine's worker. The attempt must be recorded in
+    /// the store. Drops the command if the machine's queue is full; reconciliation repeats it.
     void enqueue(const std::string& machine, std::uint64_t incarnation, core::WorkerCommand command);
-    /// True while a copy of this attempt's start, sent under the current epoch, may still be under way: then
-    /// the acknowledgement of its exit could be followed by a second start.
+    /// Returns true if a copy of this attempt's start that was issued under the current epoch may still reach
+    /// the worker. The attempt's exit must not be acknowledged before: a late copy would start the task
+    /// again.
     bool start_pending(const std::string& job, std::uint32_t task, std::uint64_t attempt) const;
-    /// True while a request with a start of the job has been sent and may still be answered.
+    /// Returns true if a request that contains a start of the job has been sent and is not completed yet.
     bool start_in_flight(const std::string& job) const { return starts_in_flight_.contains(job); }
 
   private:
@@ -58,8 +60,8 @@
         std::vector<core::WorkerCommand> commands;
         bool sending = false;
     };
-    /// Sendings of one start under an epoch that were not answered. Each of them may still arrive: one that
-    /// came after the exit was acknowledged would start the task again.
+    /// Unanswered copies of one start that were issued under one epoch. Each of them may still arrive; one
+    /// that arrives after the exit was acknowledged would start the task again.
     struct UnansweredStart {
         std::uint64_t epoch = 0;
         std::uint32_t copies = 0;
@@ -73,10 +75,10 @@
     };
 
     std::uint64_t epoch_number() const { return context_.replicated.epoch().number; }
-    /// Sends the machine's queue until it is empty, or nothing may be sent any more.
+    /// Sends the machine's queued commands until the queue is empty, the machine has no known address, or
+    /// this controller loses leadership.
     io::Task<void> send(std::string machine);
-    /// Starts of cancelled or held jobs leave the queue unsent: what was right when it was queued may not be
-    /// right any more.
+    /// Removes the starts of jobs that have been cancelled or held since the start was queued.
     void drop_forbidden_starts(CommandQueue& queue);
     bool is_forbidden(const CommandQueue& queue, std::size_t position) const;
     void count_in_flight(const std::vector<core::WorkerCommand>& commands);
@@ -84,17 +86,17 @@
     void handle_reply(const std::string& machine, std::uint64_t epoch,
                       const std::vector<core::WorkerCommand>& commands, const io::HttpResult& reply);
     void count_start(const core::WorkerCommand& command);
-    /// One copy of a start that was sent under that epoch can't arrive any more.
+    /// Records that one copy of a start that was issued under `epoch` can no longer arrive.
     void resolve_start_copy(const core::WorkerCommand& command, std::uint64_t epoch);
     void resolve_start_copies(const std::vector<core::WorkerCommand>& commands, std::uint64_t epoch);
-    /// Workers refuse starts of earlier epochs, which so need not be remembered.
+    /// Removes the unanswered starts of earlier epochs, which workers refuse.
     void forget_earlier_epochs();
 
     const CommandSenderContext context_;
     std::map<std::string, CommandQueue> queues_;  // by machine
     std::map<AttemptKey, UnansweredStart> unanswered_starts_;
-    std::map<std::string, std::size_t> starts_in_flight_;  // by job: sent, and the request is not over
-    std::uint64_t oldest_unanswered_epoch_ = 0;            // no entry is of an earlier epoch
+    std::map<std::string, std::size_t> starts_in_flight_;  // by job: in requests that are not completed
+    std::uint64_t oldest_unanswered_epoch_ = 0;            // no unanswered start is older
 };
 
 }  // namespace hatchwind::controller
--- a/src/workers/heartbeat_handler.cpp
+++ b/src/workers/heartbeat_handler.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 constexpr Micros kLoadInterval{1'000'000};
-// Tolerated above the even share: a quarter of it, and some workers.
+// Load above the even share that causes no redirects: a quarter of the share plus kLoadSlackWorkers.
 constexpr std::size_t kLoadSlackDivisor = 4;
 constexpr std::size_t kLoadSlackWorkers = 4;
-constexpr Micros kFullRedirectTime{20'000'000};  // a twentieth of the workers in a second
+constexpr Micros kFullRedirectTime{20'000'000};  // redirects up to a twentieth of the workers per second
 }  // namespace
 
 std::vector<std::string> HeartbeatBalancer::healthy_members() const {
@@ -29,7 +29,7 @@
 std::optional<std::string> HeartbeatBalancer::next_healthy_member() {
     const auto members = healthy_members();
     if (members.empty()) return std::nullopt;
-    return members[next_turn_++ % members.size()];
+    return members[next_member_index_++ % members.size()];
 }
 
 void HeartbeatBalancer::refresh_loads(Micros monotonic_now) {
@@ -75,8 +75,8 @@
         return io::plain_response(io::http_status::kBadRequest);
     }
     const std::uint64_t epoch = replicated_.epoch().number;
-    // A controller that may not act, or is behind the epoch that the worker knows of, can't renew the lease:
-    // an answer would keep the worker here until its lease has expired.
+    // Without leadership, or with an epoch older than the worker's fencing token, this controller can't renew
+    // the lease. Answering with 200 would keep the worker here until its lease has expired.
     if (!leadership_.holds_leadership() || heartbeat->fencing_token > epoch) {
         return redirect_to(balancer_.next_healthy_member());
     }
--- a/src/workers/heartbeat_handler.hpp
+++ b/src/workers/heartbeat_handler.hpp
@@ -1,6 +1,6 @@
 /// Answers workers' heartbeats: renews the lease, or redirects the worker to another controller.
 ///
-/// Owns only the state of the load balancing; leases and statuses are written through their modules.
+/// Owns only the state of load balancing; leases and worker statuses are updated through their own modules.
 #pragma once
 
 #include <cstdint>
@@ -18,40 +18,42 @@
 
 namespace hatchwind::controller {
 
-/// Spreads the workers over the controllers. They stay where they are answered, so after a restart or a
-/// partition one controller would bear the heartbeats of the whole fleet for good: a few a second are
-/// redirected.
+/// Balances the workers over the controllers by redirecting a few of them per second. A worker stays with the
+/// controller that answers it, so without redirects one controller would serve the whole fleet indefinitely
+/// after a restart or a partition.
 class HeartbeatBalancer {
   public:
     HeartbeatBalancer(const ReplicatedState& replicated, const Leadership& leadership,
                       const PeerDirectory& peers, WorkerLeases& leases)
         : replicated_(replicated), leadership_(leadership), peers_(peers), leases_(leases) {}
 
-    /// Members that can serve workers, this controller apart.
+    /// Returns the labels of the other members that can serve workers.
     std::vector<std::string> healthy_members() const;
-    /// One of them, in turn: when a controller fails, the first of the list would otherwise bear all of its
-    /// workers. Nothing when there is none.
+    /// Returns the healthy members round-robin, so that the first one doesn't receive all workers of a
+    /// controller that fails. Returns nothing if there is no healthy member.
     std::optional<std::string> next_healthy_member();
-    /// The member that a worker should be redirected to, when this controller bears far more workers than its
-    /// even share; nothing when the worker should stay. Each call that names one counts as a redirect.
+    /// Returns the least loaded member as the target of a redirect if this controller serves far more workers
+    /// than its even share, and nothing if the worker should stay. Each call that returns a member counts as
+    /// a redirect.
     std::optional<std::string> less_loaded_member();
 
   private:
-    /// Reads the loads anew, at most once in a while: redirects in between are counted in.
+    /// Reads the loads again if they are older than a bound. Until then less_loaded_member() adjusts them
+    /// with each redirect.
     void refresh_loads(core::Micros monotonic_now);
 
     const ReplicatedState& replicated_;
     const Leadership& leadership_;
     const PeerDirectory& peers_;
     WorkerLeases& leases_;
-    std::size_t next_turn_ = 0;
+    std::size_t next_member_index_ = 0;
     core::Micros loads_read_at_{0};                  // monotonic
     core::Micros next_redirect_at_{0};               // monotonic
-    std::size_t own_load_ = 0;                       // workers of this controller
-    std::map<std::string, std::size_t> peer_loads_;  // workers of the other healthy members
+    std::size_t own_load_ = 0;                       // workers served by this controller
+    std::map<std::string, std::size_t> peer_loads_;  // workers served by other healthy members
 };
 
-/// The `/hello` request of a worker.
+/// Handles the `/hello` request of a worker.
 class HeartbeatHandler {
   public:
     HeartbeatHandler(const ReplicatedState& replicated, const Leadership& leadership,
@@ -62,14 +64,16 @@
           workers_(workers),
           balancer_(replicated, leadership, peers, leases) {}
 
-    /// 200 renews the lease; 421 names another controller; 400 for a body that can't be decoded.
+    /// Returns status 200 and renews the lease, 421 with the label of another controller, or 400 if the body
+    /// can't be decoded.
     io::HttpResponse handle(const std::string& body);
 
   private:
-    /// Whichever controller renews a worker's lease stops its cancelled tasks: their shard owner may be out
-    /// of reach. Stops need no record, and unlike starts they do no harm when they are repeated or late.
+    /// Returns stops for the worker's tasks of cancelled jobs. The controller that renews the worker's lease
+    /// sends them, because the shard owner may be unreachable. Unlike starts, stops need no record in the
+    /// store and do no harm when they are repeated or late.
     std::vector<core::WorkerCommand> stops_for_cancelled(const core::WorkerHeartbeat& heartbeat) const;
-    /// Without a member the worker chooses another controller itself.
+    /// Returns status 421. If no member is given, the worker chooses another controller itself.
     static io::HttpResponse redirect_to(const std::optional<std::string>& member);
 
     const ReplicatedState& replicated_;
--- a/src/workers/reachability_monitor.cpp
+++ b/src/workers/reachability_monitor.cpp
@@ -17,15 +17,15 @@
 
 namespace {
 constexpr std::size_t kMinConcurrentProbes = 32;
-constexpr std::size_t kProbedFleetDivisor = 8;  // an eighth of the fleet at a time
+constexpr std::size_t kProbedFleetDivisor = 8;  // probes up to an eighth of the fleet at a time
 constexpr Micros kProbeCheckInterval{200'000};
 constexpr Micros kProbeTimeout{1'500'000};
 constexpr Micros kConnectivityCheckInterval{1'000'000};
 constexpr Micros kConnectivityTimeout{900'000};
-constexpr Micros kConnectivityGrace{1'500'000};
-constexpr double kQuietHeartbeatIntervals = 2;
-constexpr std::size_t kConnectivityTries = 2;
-constexpr std::size_t kMinWorkersForVerdict = 2;  // one alone may be the one that is unreachable
+constexpr Micros kContactTimeoutGrace{1'500'000};
+constexpr double kContactTimeoutIntervals = 2;
+constexpr std::size_t kConnectivityAttempts = 2;
+constexpr std::size_t kMinWorkersForCheck = 2;  // a single worker may itself be unreachable
 }  // namespace
 
 Task<io::HttpResult> ReachabilityMonitor::request_status(io::Address worker, Micros timeout) {
@@ -49,16 +49,16 @@
         context_.signals.scheduling_needed.notify_all();
         co_return;
     }
-    // Without a free socket of this controller's own the machine was not asked.
+    // If this controller's connection pool is exhausted, the probe was not sent.
     if (!reply.has_error(io::HttpError::pool_exhausted)) context_.probes.back_off(machine, steady_now());
 }
 
-// So many at a time as lets a whole fleet answer within seconds of a failover.
+// The limit lets the whole fleet answer within seconds of a failover.
 std::size_t ReachabilityMonitor::probes_allowed() const {
-    // Half of the sockets are left to commands.
-    const std::size_t sockets = std::max(kMinConcurrentProbes, context_.worker_http.max_connections() / 2);
+    // Leaves half of the connections to commands.
+    const std::size_t max_probes = std::max(kMinConcurrentProbes, context_.worker_http.max_connections() / 2);
     const std::size_t fleet_size = context_.workers.cluster_view().machines().size();
-    const std::size_t limit = std::clamp(fleet_size / kProbedFleetDivisor, kMinConcurrentProbes, sockets);
+    const std::size_t limit = std::clamp(fleet_size / kProbedFleetDivisor, kMinConcurrentProbes, max_probes);
     return limit - std::min(limit, probes_in_flight_);
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-std::vector<io::Address> ReachabilityMonitor::recently_heard(Micros max_age) const {
+std::vector<io::Address> ReachabilityMonitor::workers_with_recent_heartbeat(Micros max_age) const {
     std::vector<io::Address> addresses;
     for (const auto& [machine, view] : context_.workers.cluster_view().machines()) {
         if (steady_now() - view.last_heartbeat_at > max_age) continue;
@@ -85,9 +85,9 @@
     return addresses;
 }
 
-Task<bool> ReachabilityMonitor::reaches_any(std::vector<io::Address> addresses) {
-    for (std::size_t attempt = 0; attempt < kConnectivityTries; ++attempt) {
-        const io::Address address = addresses[next_turn_++ % addresses.size()];
+Task<bool> ReachabilityMonitor::reaches_any_worker(std::vector<io::Address> addresses) {
+    for (std::size_t attempt = 0; attempt < kConnectivityAttempts; ++attempt) {
+        const io::Address address = addresses[next_worker_index_++ % addresses.size()];
         auto requesting = request_status(address, kConnectivityTimeout);
         const io::HttpResult reply = co_await std::move(requesting);
         if (!reply.has_status(io::http_status::kOk)) continue;
@@ -98,18 +98,19 @@
 }
 
 Task<void> ReachabilityMonitor::monitor_worker_connectivity() {
-    // Heartbeats may all go to other controllers, so silence alone proves nothing: some workers are asked.
-    const Micros quiet_period =
-        core::from_seconds(context_.settings.report_s * kQuietHeartbeatIntervals) + kConnectivityGrace;
+    // All heartbeats may go to other controllers, so a lack of contact proves nothing by itself. Some workers
+    // are therefore asked for their status.
+    const Micros contact_timeout =
+        core::from_seconds(context_.settings.report_s * kContactTimeoutIntervals) + kContactTimeoutGrace;
     while (true) {
         co_await context_.loop.sleep(kConnectivityCheckInterval);
-        if (steady_now() - context_.workers.last_contact_at() < quiet_period) {
+        if (steady_now() - context_.workers.last_contact_at() < contact_timeout) {
             context_.health.set_healthy(true);
             continue;
         }
-        auto workers = recently_heard(quiet_period);
-        if (workers.size() < kMinWorkersForVerdict) continue;
-        auto trying = reaches_any(std::move(workers));
+        auto workers = workers_with_recent_heartbeat(contact_timeout);
+        if (workers.size() < kMinWorkersForCheck) continue;
+        auto trying = reaches_any_worker(std::move(workers));
         const bool reached = co_await std::move(trying);
         if (reached != context_.health.is_healthy()) spdlog::warn("event=worker_connectivity ok={}", reached);
         context_.health.set_healthy(reached);
--- a/src/workers/reachability_monitor.hpp
+++ b/src/workers/reachability_monitor.hpp
@@ -1,5 +1,5 @@
-/// Requests the status of workers: of those that have yet to show that they hear this controller, and of a
-/// few when no worker has been in contact with it.
+/// Requests the status of workers that have not yet answered this controller, and of a few workers if none
+/// has contacted it for a while.
 ///
 /// The only writer of `LocalHealth`.
 #pragma once
@@ -20,7 +20,7 @@
 
 namespace hatchwind::controller {
 
-/// What the monitor reads, and what it changes.
+/// The modules that ReachabilityMonitor reads and changes.
 struct ReachabilityContext {
     io::Loop& loop;
     io::Scope& scope;
@@ -33,32 +33,34 @@
     io::HttpClient& worker_http;
 };
 
-/// Two duties, each a coroutine that runs as long as the controller.
+/// Runs two coroutines, which last as long as the controller.
 class ReachabilityMonitor {
   public:
     explicit ReachabilityMonitor(const ReachabilityContext& context) : context_(context) {}
 
-    /// Probes machines whose heartbeats alone prove nothing: new ones, silent ones that are back, and those
-    /// that send heartbeats but did not answer a command. One that only sends would otherwise be given tasks
-    /// for ever.
+    /// Probes machines whose heartbeats don't prove that they receive requests: new ones, unresponsive ones
+    /// that send heartbeats again, and those that send heartbeats but did not answer a command. Without
+    /// probes, a machine that only sends would be given tasks indefinitely.
     io::Task<void> probe_unconfirmed_workers();
-    /// A controller that is partitioned from the workers alone can't schedule: it says so to its peers, and
-    /// its shards move.
+    /// Checks that this controller reaches workers. A controller that reaches its peers but no worker can't
+    /// schedule: it reports itself as unhealthy, and its shards move to other controllers.
     io::Task<void> monitor_worker_connectivity();
 
   private:
-    /// How many more probes may be sent now.
+    /// Returns the number of further probes that may be sent now.
     std::size_t probes_allowed() const;
     io::Task<void> probe(std::string machine);
     io::Task<io::HttpResult> request_status(io::Address worker, io::Micros timeout);
-    /// Workers of whom a heartbeat came within `max_age`, by way of any controller.
-    std::vector<io::Address> recently_heard(io::Micros max_age) const;
-    /// True when one of a few of these workers, which must not be empty, has answered.
-    io::Task<bool> reaches_any(std::vector<io::Address> addresses);
+    /// Returns the addresses of workers whose last heartbeat, received by any controller, is at most
+    /// `max_age` old.
+    std::vector<io::Address> workers_with_recent_heartbeat(io::Micros max_age) const;
+    /// Requests the status of a few of the workers, one by one, and returns true as soon as one
+    /// answers. `addresses` must not be empty.
+    io::Task<bool> reaches_any_worker(std::vector<io::Address> addresses);
 
     const ReachabilityContext context_;
     std::size_t probes_in_flight_ = 0;
-    std::size_t next_turn_ = 0;  // among the workers that connectivity is tried with
+    std::size_t next_worker_index_ = 0;  // round-robin over the workers in reaches_any_worker()
 };
 
 }  // namespace hatchwind::controller
--- a/src/workers/reachability_probes.cpp
+++ b/src/workers/reachability_probes.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr Micros kMaxProbeInterval{8'000'000};
-constexpr Micros kProbeUnderWay{2'000'000};  // longer than a probe's timeout
+constexpr Micros kProbeInFlightTime{2'000'000};  // exceeds the timeout of a probe
 
 struct DueProbe {
     Micros due_at;
@@ -53,7 +53,7 @@
 void ReachabilityProbes::record_probe_sent(const std::string& machine, Micros monotonic_now) {
     const auto found = states_.find(machine);
     if (found == states_.end()) return;
-    found->second.next_probe = monotonic_now + kProbeUnderWay;
+    found->second.next_probe = monotonic_now + kProbeInFlightTime;
     found->second.last_probe = monotonic_now;
 }
 
--- a/src/workers/reachability_probes.hpp
+++ b/src/workers/reachability_probes.hpp
@@ -1,7 +1,7 @@
-/// Machines that have yet to show that they answer this controller, and when each is probed next.
+/// The machines that have not yet answered this controller, with the time of each machine's next probe.
 ///
-/// Owns the probe table. `WorkerStatus`, `CommandSender` and `ReachabilityMonitor` report what they have
-/// seen; all others read. All times are monotonic.
+/// Owns the probe table. `WorkerStatus`, `CommandSender` and `ReachabilityMonitor` update it; all other
+/// modules only read it. All times are monotonic.
 #pragma once
 
 #include <cstddef>
@@ -14,52 +14,55 @@
 
 namespace hatchwind::controller {
 
-/// The least time between two probes of a machine, unless it answered the first.
+/// Minimum time between two probes of a machine that has not answered.
 inline constexpr core::Micros kMinProbeInterval{500'000};
 
-/// How a machine has taken this controller's requests.
+/// The probes of one machine.
 struct ProbeState {
-    core::Micros unanswered_since{0};  ///< 0: never asked, so nothing is known against it
+    core::Micros unanswered_since{0};  ///< time of the first unanswered request; 0: none
     core::Micros next_probe{0};
-    core::Micros interval{kMinProbeInterval};  ///< between probes; doubled by each that stays unanswered
+    core::Micros interval{kMinProbeInterval};  ///< between probes; doubled by each unanswered probe
     core::Micros last_probe{0};
 };
 
-/// A heartbeat alone proves nothing: it may be a late copy, or come from a machine that only sends. A machine
-/// in this table has not answered this controller's last request, or was never asked.
+/// Holds the machines that have not answered this controller's last request, or were never sent one. A
+/// heartbeat doesn't prove that a machine is reachable: it may be a late copy, or come from a machine that
+/// sends but doesn't receive.
 class ReachabilityProbes {
   public:
     /// By machine.
     using States = std::map<std::string, ProbeState>;
 
-    /// All machines that have yet to answer.
+    /// All machines that have not answered yet.
     const States& states() const { return states_; }
-    /// Null: the machine has answered, or is not known.
+    /// Returns null if the machine has answered or is not known.
     const ProbeState* find(const std::string& machine) const;
-    /// At most `max_count` machines whose probe is due, the longest overdue first. In the order of names some
-    /// dozens of dead machines took all the turns, and live ones behind them stayed unused.
+    /// Returns at most `max_count` machines whose probe is due, the longest overdue first. In the order of
+    /// their names, a few dozen dead machines would use up all probes, and live machines after them would
+    /// stay unused.
     std::vector<std::string> due(core::Micros monotonic_now, std::size_t max_count) const;
-    /// The machine has left this controller's requests unanswered for longer than `duration`.
+    /// Returns true if the machine has left this controller's requests unanswered for longer than `duration`.
     static bool is_unanswered_for(const ProbeState& state, core::Micros duration,
                                   core::Micros monotonic_now) {
         return state.unanswered_since.count() != 0 && monotonic_now - state.unanswered_since > duration;
     }
 
-    /// The machine has to answer before it counts as reachable.
+    /// Requires an answer of the machine before it counts as reachable: adds it to the table, due at once.
     void request(const std::string& machine) { states_.try_emplace(machine); }
-    /// A machine that did not answer before has something to say now: it is probed soon, not after the
-    /// interval that its silence earned.
+    /// Moves the next probe of a machine that sends heartbeats again forward, to kMinProbeInterval after the
+    /// last probe, instead of waiting for the full backoff interval.
     void expedite(const std::string& machine);
-    /// A probe of the machine, which is in the table, is being sent. It is not due again while that probe may
-    /// be under way.
+    /// Records that a probe of the machine is being sent. The machine is not due again while that probe may
+    /// be in flight. Ignored if the machine is not in the table.
     void record_probe_sent(const std::string& machine, core::Micros monotonic_now);
-    /// A probe of the machine stayed unanswered: the next one waits twice as long, up to a bound.
+    /// Records an unanswered probe: doubles the interval to the next one, up to a bound. Ignored if
+    /// the machine is not in the table.
     void back_off(const std::string& machine, core::Micros monotonic_now);
-    /// Any request to the machine stayed unanswered.
+    /// Records an unanswered request of any kind, and adds the machine to the table if it isn't there.
     void record_unanswered(const std::string& machine, core::Micros monotonic_now);
-    /// The machine has answered, or is gone.
+    /// Removes a machine that has answered or was released.
     void remove(const std::string& machine) { states_.erase(machine); }
-    /// Drops machines that the cluster view does not have.
+    /// Removes machines that are not in the cluster view.
     void remove_unknown(const core::ClusterView& cluster_view);
 
   private:
--- a/src/workers/start_holds.hpp
+++ b/src/workers/start_holds.hpp
@@ -1,5 +1,5 @@
-/// Holds on the starts of jobs whose cancellation is about to be committed. Owns which job is held, and until
-/// when; memory only.
+/// Holds on the starts of jobs whose cancellation is about to be committed. Owns the set of held jobs and the
+/// end of each hold, in memory only.
 #pragma once
 
 #include <algorithm>
@@ -11,41 +11,41 @@
 
 namespace hatchwind::controller {
 
-/// While a job is held, its shard owner sends no start of it. Times are of the monotonic clock.
+/// While a job is held, its shard owner sends no starts of its tasks. All times are monotonic.
 ///
-/// A hold needs no end of its own when the cancellation is committed: cancelled jobs never start. A job whose
-/// cancellation is never committed runs on once its hold has expired.
+/// A hold isn't removed when the cancellation is committed, since cancelled jobs never start. If the
+/// cancellation is never committed, the job continues once its hold has expired.
 class StartHolds {
   public:
-    /// How long one request holds a job. A commit without an answer may be carried out later than the answer
-    /// to its user; the protocol names no bound, and users repeat a cancel without an answer within seconds,
-    /// which holds the job anew.
+    /// Duration of a hold. The store may carry out an unanswered commit after the user got an answer, and the
+    /// protocol sets no bound on that delay. Users repeat an unanswered cancel within seconds, which renews
+    /// the hold.
     static constexpr core::Micros kHoldTime{15'000'000};
-    /// Of a bound on memory: the hold that expires first gives way to a new one.
+    /// Bounds memory: beyond it, a new hold replaces the one that expires first.
     static constexpr std::size_t kMaxHolds = 4096;
 
-    /// Holds the job for kHoldTime from now on, also one that is held already.
+    /// Holds the job for kHoldTime from now, also if it is already held.
     void hold(const std::string& job, core::Micros monotonic_now) {
-        std::erase_if(until_, [&](const auto& held) { return held.second <= monotonic_now; });
-        if (until_.size() >= kMaxHolds && !until_.contains(job)) drop_first_to_expire();
-        until_[job] = monotonic_now + kHoldTime;
+        std::erase_if(held_until_, [&](const auto& held) { return held.second <= monotonic_now; });
+        if (held_until_.size() >= kMaxHolds && !held_until_.contains(job)) drop_first_to_expire();
+        held_until_[job] = monotonic_now + kHoldTime;
     }
-    /// True while the job must not start anything.
+    /// Returns true while no task of the job may be started.
     bool holds(const std::string& job, core::Micros monotonic_now) const {
-        const auto held = until_.find(job);
-        return held != until_.end() && monotonic_now < held->second;
+        const auto held = held_until_.find(job);
+        return held != held_until_.end() && monotonic_now < held->second;
     }
-    /// Until when each job is held; may have entries that have expired.
-    const std::map<std::string, core::Micros>& all() const { return until_; }
+    /// The end of each hold, by job. May contain expired holds.
+    const std::map<std::string, core::Micros>& all() const { return held_until_; }
 
   private:
     void drop_first_to_expire() {
-        until_.erase(std::min_element(until_.begin(), until_.end(), [](const auto& left, const auto& right) {
-            return left.second < right.second;
-        }));
+        held_until_.erase(
+            std::min_element(held_until_.begin(), held_until_.end(),
+                             [](const auto& left, const auto& right) { return left.second < right.second; }));
     }
 
-    std::map<std::string, core::Micros> until_;  // by job
+    std::map<std::string, core::Micros> held_until_;  // by job
 };
 
 }  // namespace hatchwind::controller
--- a/src/workers/worker_leases.cpp
+++ b/src/workers/worker_leases.cpp
@@ -9,7 +9,7 @@
 using core::Micros;
 
 namespace {
-// How far a worker's clock may drift from this controller's, and be skewed against it.
+// Bounds on the drift and the skew between a worker's clock and this controller's clock.
 constexpr double kLeaseMarginSeconds = 1.0;
 constexpr double kDriftShare = 0.002;           // of the lease's duration
 constexpr double kSkewSecondsPerMilli = 0.004;  // four times the skew
@@ -17,7 +17,7 @@
 
 void WorkerLeases::renew(const std::string& machine, Micros wall_clock_now, Micros monotonic_now) {
     own_renewals_[machine] = wall_clock_now;
-    assigned_[machine] = monotonic_now;
+    assigned_workers_[machine] = monotonic_now;
     record_peer_renewal(machine, wall_clock_now);
 }
 
@@ -27,15 +27,15 @@
 }
 
 void WorkerLeases::record_incarnation(const std::string& machine, std::uint64_t incarnation) {
-    IncarnationSighting& known = incarnations_[machine];
-    if (known.first_known.count() != 0 && incarnation <= known.incarnation) return;
+    KnownIncarnation& known = incarnations_[machine];
+    if (known.known_since.count() != 0 && incarnation <= known.incarnation) return;
     known = {incarnation, io::wall_now()};
 }
 
 void WorkerLeases::forget(const std::string& machine) {
     own_renewals_.erase(machine);
     known_renewals_.erase(machine);
-    assigned_.erase(machine);
+    assigned_workers_.erase(machine);
     incarnations_.erase(machine);
 }
 
@@ -44,21 +44,23 @@
     constexpr double kGraceSeconds = 2;
     const Micros answered_since =
         io::steady_now() - core::from_seconds(settings_.report_s * kIntervals + kGraceSeconds);
-    std::erase_if(assigned_, [&](const auto& worker) { return worker.second < answered_since; });
-    return assigned_.size();
+    std::erase_if(assigned_workers_, [&](const auto& worker) { return worker.second < answered_since; });
+    return assigned_workers_.size();
 }
 
-// Counted from the latest moment at which any controller may have answered: this one and its peers by their
-// renewals, former members at the latest when the epoch that removed them was written.
+// The lease counts from the latest time at which any controller may have answered the worker: this controller
+// and its peers according to their renewals, former members at the latest when the epoch that removed them
+// was written.
 Micros WorkerLeases::latest_expiry(const std::string& machine) const {
     const Micros removed_at = replicated_.epoch().removed_at;
     Micros latest_renewal = std::max(removed_at, replicated_.loaded_at());
     if (const auto renewal = known_renewals_.find(machine); renewal != known_renewals_.end())
         latest_renewal = std::max(renewal->second, removed_at);
-    // An incarnation begins with a lease that no controller granted, and it may have been learned from the
-    // answer to a command. Counted from the last answered heartbeat alone, tasks of a worker whose heartbeats
-    // reach no controller were started a second time while they ran (IncarnationLease tests).
-    latest_renewal = std::max(latest_renewal, incarnations_.at(machine).first_known);
+    // An incarnation begins with a lease that no controller granted, and this controller may learn of it from
+    // the answer to a command. If the lease counted only from the last answered heartbeat, tasks of a worker
+    // whose heartbeats reach no controller would be started a second time while they run (IncarnationLease
+    // tests).
+    latest_renewal = std::max(latest_renewal, incarnations_.at(machine).known_since);
     const double margin_s =
         kLeaseMarginSeconds + settings_.lease_s * kDriftShare + settings_.skew_ms * kSkewSecondsPerMilli;
     return latest_renewal + core::from_seconds(settings_.lease_s + margin_s);
--- a/src/workers/worker_leases.hpp
+++ b/src/workers/worker_leases.hpp
@@ -1,7 +1,7 @@
-/// Until when each worker's lease may still run, wherever it was renewed.
+/// The latest time until which each worker's lease may be valid, whichever controller renewed it.
 ///
-/// Owns the renewals that this controller knows of, and the incarnations of the workers. All of it is memory
-/// only: what a controller can't know after a restart it takes to be as late as possible.
+/// Owns the lease renewals that this controller knows of, and the incarnations of the workers, in memory
+/// only. After a restart, renewals that the controller can't know of are assumed to be as late as possible.
 #pragma once
 
 #include <cstdint>
@@ -20,54 +20,57 @@
 /// task may be started elsewhere only once its worker's lease has expired for certain.
 class WorkerLeases {
   public:
-    /// Time of day of the latest renewal, by machine.
+    /// Time of the latest renewal (wall clock), by machine.
     using Renewals = std::map<std::string, core::Micros>;
 
     WorkerLeases(const Settings& settings, const ReplicatedState& replicated, const PeerDirectory& peers,
                  const Leadership& leadership)
         : settings_(settings), replicated_(replicated), peers_(peers), leadership_(leadership) {}
 
-    /// This controller answers a heartbeat of the worker, at this moment by both clocks.
+    /// Records that this controller answers a heartbeat of the worker now, and so renews its lease.
     void renew(const std::string& machine, core::Micros wall_clock_now, core::Micros monotonic_now);
-    /// The lease was renewed by some controller at that time of day. The latest renewal counts.
+    /// Records that a controller renewed the lease at `renewed_at` (wall clock). The latest renewal counts.
     void record_peer_renewal(const std::string& machine, core::Micros renewed_at);
-    /// Time of day of the renewals by this controller since it started, for its peers.
+    /// The renewals by this controller since it started, which it reports to its peers.
     const Renewals& own_renewals() const { return own_renewals_; }
 
-    /// A worker incarnation exists. It began before this moment, and with a lease that no controller granted.
+    /// Records that the worker incarnation exists. It began before this call, with a lease that no controller
+    /// granted.
     void record_incarnation(const std::string& machine, std::uint64_t incarnation);
-    /// True when the lease of that incarnation has certainly expired, whichever controllers the worker's
-    /// heartbeats went to.
+    /// Returns true if the lease of the incarnation has certainly expired, whichever controllers received the
+    /// worker's heartbeats.
     bool is_expired(const std::string& machine, std::uint64_t incarnation, core::Micros wall_clock_now);
-    /// The machine has been released.
+    /// Removes a machine that has been released.
     void forget(const std::string& machine);
 
-    /// How many workers send their heartbeats to this controller.
+    /// Returns the number of workers that send their heartbeats to this controller.
     std::size_t assigned_count();
-    /// The worker was redirected to another controller, or has been answered by one.
-    void unassign(const std::string& machine) { assigned_.erase(machine); }
+    /// Records that the worker was redirected to another controller, or has been answered by one.
+    void unassign(const std::string& machine) { assigned_workers_.erase(machine); }
 
   private:
-    struct IncarnationSighting {
+    struct KnownIncarnation {
         std::uint64_t incarnation = 0;
-        core::Micros first_known{0};  // time of day
+        core::Micros known_since{0};  // wall clock
     };
-    /// Time of day by which a lease that any controller may have renewed has expired by the worker's clock.
+    /// Returns the time (wall clock) at which the latest lease that any controller may have granted has
+    /// expired by the worker's clock.
     core::Micros latest_expiry(const std::string& machine) const;
-    /// Every other member's renewals up to that time of day are known.
+    /// Returns true if every other member has reported its renewals up to `expiry` (wall clock).
     bool peers_reported_until(core::Micros expiry) const;
 
     const Settings& settings_;
     const ReplicatedState& replicated_;
     const PeerDirectory& peers_;
     const Leadership& leadership_;
-    Renewals own_renewals_;    // time of day
-    Renewals known_renewals_;  // time of day, by any controller
-    // Workers that this controller was the last to answer, with the monotonic time of it. A count of all that
-    // it answered recently would include those that it has just redirected, and redirect as many again.
-    std::unordered_map<std::string, core::Micros> assigned_;
-    // The newest incarnation of each machine that a heartbeat or a record has named.
-    std::unordered_map<std::string, IncarnationSighting> incarnations_;
+    Renewals own_renewals_;
+    Renewals known_renewals_;  // by any controller
+    // Workers whose last answer came from this controller, with the time of that answer (monotonic clock).
+    // Counting all workers that were answered recently would include those that were just redirected, and
+    // would cause as many redirects again.
+    std::unordered_map<std::string, core::Micros> assigned_workers_;
+    // The newest known incarnation of each machine, from heartbeats and attempt records.
+    std::unordered_map<std::string, KnownIncarnation> incarnations_;
 };
 
 }  // namespace hatchwind::controller
--- a/src/workers/worker_status.cpp
+++ b/src/workers/worker_status.cpp
@@ -58,11 +58,11 @@
     if (content_changed) record_images_of_tasks(*cluster_view_.find(machine));
     if (!after.confirmed) context_.probes.request(machine);
     context_.probes.expedite(machine);
-    const bool news =
+    const bool changed =
         content_changed || before.fencing_token != after.fencing_token || before.confirmed != after.confirmed;
-    if (news) context_.signals.scheduling_needed.notify_all();
+    if (changed) context_.signals.scheduling_needed.notify_all();
     if (!before.known) context_.signals.scaling_needed.notify_all();
-    return news;
+    return changed;
 }
 
 std::optional<double> WorkerStatus::image_cache_gb(const core::MachineView& machine) const {
@@ -76,7 +76,7 @@
     const std::optional<double> cache_gb = image_cache_gb(machine);
     if (!cache_gb) return;
     for (const auto& task : machine.last_heartbeat.tasks) {
-        // A task that runs, or is done, has had its image fetched.
+        // The image of a task that is running or done has been fetched.
         const bool fetched = task.state != core::TaskState::fetching &&
                              (task.state != core::TaskState::exited || task.cause == core::ExitCause::done);
         const core::JobEntry* entry = fetched ? context_.replicated.job_table().find(task.job) : nullptr;
@@ -102,11 +102,11 @@
     last_contact_at_ = io::steady_now();
     const std::string machine = heartbeat.machine;
     const std::uint64_t sequence = heartbeat.heartbeat_sequence;
-    // Even the answer to a late duplicate may have renewed a lease, as far as this controller can tell: it
-    // bounds the lease's end, and proves nothing about the machine.
+    // The answer to a late duplicate counts as a renewal too, because this controller can't rule out that it
+    // renewed the lease. It only bounds the end of the lease and proves nothing about the machine.
     context_.leases.renew(machine, wall_clock_now, last_contact_at_);
-    const bool news = merge_heartbeat(std::move(heartbeat), wall_clock_now, HeartbeatSource::request);
-    share(machine, sequence, wall_clock_now, news);
+    const bool changed = merge_heartbeat(std::move(heartbeat), wall_clock_now, HeartbeatSource::request);
+    share_with_peers(machine, sequence, wall_clock_now, changed);
 }
 
 void WorkerStatus::handle_response(core::WorkerHeartbeat status) {
@@ -114,9 +114,9 @@
     const std::string machine = status.machine;
     const std::uint64_t sequence = status.heartbeat_sequence;
     context_.probes.remove(machine);
-    const bool news = merge_heartbeat(std::move(status), Micros{0}, HeartbeatSource::response);
+    const bool changed = merge_heartbeat(std::move(status), Micros{0}, HeartbeatSource::response);
     cluster_view_.confirm(machine);
-    share(machine, sequence, Micros{0}, news);
+    share_with_peers(machine, sequence, Micros{0}, changed);
 }
 
 void WorkerStatus::handle_response_body(const std::string& body) {
@@ -130,17 +130,17 @@
     handle_response(std::move(*status));
 }
 
-void WorkerStatus::share(const std::string& machine, std::uint64_t heartbeat_sequence, Micros answered_at,
-                         bool news) {
+void WorkerStatus::share_with_peers(const std::string& machine, std::uint64_t heartbeat_sequence,
+                                    Micros answered_at, bool changed) {
     const core::MachineView* view = cluster_view_.find(machine);
-    // A duplicate of an old heartbeat proves nothing about the machine, so the peers don't need it.
+    // A late duplicate of an old heartbeat proves nothing about the machine, so peers don't need it.
     if (view == nullptr || view->last_heartbeat.heartbeat_sequence != heartbeat_sequence) return;
-    if (news) {
+    if (changed) {
         context_.links.broadcast(status_update(*view, answered_at));
         return;
     }
-    // Unchanged heartbeats are passed on in a short form: the others use a machine only while
-    // its status is recent.
+    // Unchanged heartbeats are forwarded in a short form, because peers use a machine only while its status
+    // is recent.
     context_.links.broadcast(wire::WorkerKeepAlive{
         machine, view->last_heartbeat.incarnation, view->last_heartbeat.heartbeat_sequence,
         view->last_heartbeat.fencing_token, view->content_sequence, answered_at.count()});
@@ -199,12 +199,13 @@
     availability.now = io::steady_now();
     availability.silent_after =
         core::from_seconds(context_.settings.report_s * kUnresponsiveIntervals + kUnresponsiveGraceSeconds);
-    // A worker whose heartbeats reach no controller keeps no lease: its tasks would end with each of its
-    // incarnations.
+    // A worker whose heartbeats reach no controller can't renew its lease: its tasks would end with each of
+    // its incarnations.
     availability.answered_since = io::wall_now() - availability.silent_after;
     availability.draining = context_.replicated.draining();
     availability.candidates = drain_candidates_;
-    // One that sends heartbeats but does not answer gets no new tasks: its lease expires on its own side.
+    // A machine that sends heartbeats but doesn't answer requests gets no new tasks. Its lease expires by its
+    // own clock.
     for (const auto& [machine, state] : context_.probes.states()) {
         if (ReachabilityProbes::is_unanswered_for(state, kUnansweredFor, availability.now))
             availability.banned_until[machine] = Micros::max();
--- a/src/workers/worker_status.hpp
+++ b/src/workers/worker_status.hpp
@@ -1,5 +1,5 @@
-/// What this controller knows of the workers: heartbeats that it received itself and those that peers pass
-/// on, merged into the cluster view.
+/// The status of the workers: merges heartbeats that this controller received with those that peers forward
+/// into the cluster view.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace hatchwind::controller {
 
-/// What the worker status reads, and what it changes.
+/// The modules that WorkerStatus reads and changes.
 struct WorkerStatusContext {
     const Settings& settings;
     const ReplicatedState& replicated;
@@ -33,7 +33,7 @@
 };
 
 /// The only writer of the cluster view. Of two statuses of a machine the later one counts, by incarnation and
-/// heartbeat sequence, whichever way it came.
+/// heartbeat sequence, regardless of whether it came from the worker or a peer.
 class WorkerStatus {
   public:
     explicit WorkerStatus(const WorkerStatusContext& context) : context_(context) {}
@@ -42,33 +42,36 @@
     const core::ClusterView& cluster_view() const { return cluster_view_; }
     /// Monotonic time at which a worker last sent a heartbeat to this controller or answered it; 0: never.
     core::Micros last_contact_at() const { return last_contact_at_; }
-    /// The cluster leader's drain candidates, as last reported: destinations of last resort.
+    /// The drain candidates last reported by the cluster leader. They take tasks only if no other machine
+    /// can.
     const std::set<std::string>& drain_candidates() const { return drain_candidates_; }
-    /// Replaces the drain candidates by those that the cluster leader has reported.
+    /// Replaces the drain candidates.
     void set_drain_candidates(std::set<std::string> machines) { drain_candidates_ = std::move(machines); }
-    /// Which machines may take new tasks now.
+    /// Returns the conditions under which machines may take new tasks now.
     core::Availability availability() const;
-    /// After so long without a heartbeat, the next one may be a late duplicate of one sent before that time.
+    /// Returns the time without heartbeats of a machine after which the next one may be a late duplicate.
     core::Micros stale_heartbeat_threshold() const;
 
-    /// A heartbeat that was sent to this controller, which answers it with 200 and so renews the worker's
-    /// lease.
+    /// Handles a heartbeat that was sent to this controller, which answers it with status 200 and so renews
+    /// the worker's lease.
     void handle_heartbeat(core::WorkerHeartbeat heartbeat);
-    /// The worker's status as the answer to a request of this controller, and so no late duplicate.
+    /// Handles the worker's status from the response to a request of this controller, which is therefore no
+    /// late duplicate.
     void handle_response(core::WorkerHeartbeat status);
-    /// The same from the body of the answer; one that can't be decoded is logged and ignored.
+    /// Decodes the body of a response and handles the status in it. Logs and ignores a body that can't be
+    /// decoded.
     void handle_response_body(const std::string& body);
-    /// A heartbeat that a peer passes on.
+    /// Applies a worker status that a peer forwards.
     void apply_peer_status(wire::WorkerStatusUpdate update);
-    /// A peer received a heartbeat that says nothing new.
+    /// Applies the short form of a heartbeat without changes that a peer received.
     void apply_peer_keep_alive(const wire::WorkerKeepAlive& keep_alive);
-    /// A peer renewed the machine's lease at that time of day.
+    /// Records that a peer renewed the machine's lease at `renewed_at` (wall clock).
     void apply_peer_renewal(const std::string& machine, core::Micros renewed_at);
-    /// The cloud has confirmed that the machine is gone.
+    /// Removes a machine after the cloud has confirmed its release.
     void record_released(const std::string& machine);
 
   private:
-    /// The parts of a machine's status whose change is news to others.
+    /// The parts of a machine's status whose changes are sent to peers in full.
     struct StatusVersion {
         bool known = false;  ///< the cluster view has the machine
         std::uint64_t incarnation = 0;
@@ -80,23 +83,25 @@
     enum class HeartbeatSource : std::uint8_t { request, response, peer, confirmed_by_peer };
 
     StatusVersion status_version(const std::string& machine) const;
-    /// True when it says something that placement may care about. `answered_at`: time of day at which some
-    /// controller answered the heartbeat; 0: none did.
+    /// Merges a heartbeat into the cluster view. Returns true if the machine's StatusVersion has changed.
+    /// `answered_at`: time (wall clock) at which a controller answered the heartbeat; 0: none did.
     bool merge_heartbeat(core::WorkerHeartbeat heartbeat, core::Micros answered_at, HeartbeatSource source);
-    /// The heartbeat can't be older than the present epoch, which began a short time ago.
+    /// Returns true if the heartbeat has the fencing token of the current epoch and this controller learned
+    /// of that epoch recently. Such a heartbeat is no late duplicate.
     bool is_of_recent_epoch(const core::WorkerHeartbeat& heartbeat, core::Micros monotonic_now) const;
-    /// A peer answered a heartbeat of the worker at that time of day (0: none did), so it renewed the lease,
-    /// and the worker is no longer one of this controller's.
+    /// Records that a peer answered a heartbeat of the worker at `answered_at` (wall clock; 0: none did). The
+    /// answer renewed the lease, and the worker is no longer assigned to this controller.
     void record_answer_by_peer(const std::string& machine, core::Micros answered_at);
-    /// Gigabytes of images that a machine of this type keeps; nothing while the type is not known.
+    /// Returns the size of the machine's image cache in gigabytes, or nothing while its type is not known.
     std::optional<double> image_cache_gb(const core::MachineView& machine) const;
-    /// The machine has the images of its own tasks.
+    /// Records that the machine has the images of its own tasks.
     void record_images_of_tasks(const core::MachineView& machine);
-    /// The machine has the images that a peer names.
+    /// Records that the machine has the images that a peer reports.
     void record_images_from_peer(const std::string& machine, const CachedImages& images);
-    /// Passes on to the peers what the worker said to this controller.
-    void share(const std::string& machine, std::uint64_t heartbeat_sequence, core::Micros answered_at,
-               bool news);
+    /// Forwards a status that this controller received from the worker to the peers: in full if `changed`,
+    /// otherwise as a keep-alive.
+    void share_with_peers(const std::string& machine, std::uint64_t heartbeat_sequence,
+                          core::Micros answered_at, bool changed);
 
     const WorkerStatusContext context_;
     core::ClusterView cluster_view_;
@@ -105,8 +110,8 @@
     std::uint64_t malformed_responses_ = 0;
 };
 
-/// The machine's status as peers get it. `answered_at`: time of day at which a controller answered its latest
-/// heartbeat; 0: none did.
+/// Returns the machine's status as it is sent to peers. `answered_at`: time (wall clock) at which a
+/// controller answered its latest heartbeat; 0: none did.
 wire::WorkerStatusUpdate status_update(const core::MachineView& machine, core::Micros answered_at);
 
 }  // namespace hatchwind::controller
