--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -1,4 +1,4 @@
-/// What this controller may do: its incarnation, its leadership lease, and the part that the epoch gives it.
+/// What this controller is allowed to do: its incarnation, its leadership lease, and its role in the epoch.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,37 @@
 
 namespace hatchwind::controller {
 
-/// Written by Membership alone; everything else asks before it acts. Times are monotonic.
+/// Written only by Membership; all other modules check it before they act. All times are monotonic.
 class Leadership {
   public:
     Leadership(const Settings& settings, const ReplicatedState& replicated);
 
-    /// This incarnation: the controller's label and the store lease that it holds; 0 while it holds none.
+    /// This incarnation: the controller's label and its store lease; the lease is 0 while it holds none.
     const core::Member& self() const { return self_; }
-    /// The label that the settings give this controller, the same in every incarnation.
+    /// The controller's label from the settings, which is the same in every incarnation.
     const std::string& label() const { return self_.label; }
-    /// True while the leadership lease is certainly alive; alone it does not allow anything: see
-    /// holds_leadership.
-    bool lease_alive(core::Micros monotonic_now) const { return lease_.alive(monotonic_now); }
-    /// May this incarnation answer workers, send commands and place tasks? Only while its leadership lease is
-    /// certainly alive and the epoch names it as a member.
+    /// Returns true while the leadership lease is certainly valid. This alone permits nothing: see
+    /// holds_leadership().
+    bool lease_valid(core::Micros monotonic_now) const { return lease_.alive(monotonic_now); }
+    /// Returns true if this incarnation may answer workers, send commands and place tasks: the replica is
+    /// loaded, the leadership lease is certainly valid, and the epoch names this incarnation as a member.
     bool holds_leadership() const;
-    /// Does it deal with the cloud, and write the next epoch?
+    /// Returns true if this controller manages cloud instances and writes the next epoch.
     bool is_cluster_leader() const;
-    /// Does it schedule the team's jobs?
+    /// Returns true if this controller schedules the team's jobs.
     bool owns_shard(const std::string& team) const;
 
-    /// A new incarnation has written its member key. `requested_at`: when its store lease was asked for.
+    /// Records that a new incarnation has written its member key. `requested_at`: when its store lease was
+    /// requested.
     void join(std::uint64_t store_lease, core::Micros requested_at, core::Micros ttl);
-    /// A renewal of the store lease that was sent then has succeeded.
+    /// Records a successful renewal of the store lease that was requested at `sent_at`.
     void renew(core::Micros sent_at, core::Micros ttl) { lease_.renewed(sent_at, ttl); }
-    /// Without its store lease or its member key this incarnation is over.
+    /// Ends this incarnation after it has lost its store lease or its member key.
     void resign();
-    /// A peer has voted, when asked at that time, not to remove this controller for `ttl`.
-    void record_vote(const std::string& peer, core::Micros asked_at, core::Micros ttl,
+    /// Records that a peer has voted not to remove this controller for `ttl` from `requested_at`.
+    void record_vote(const std::string& peer, core::Micros requested_at, core::Micros ttl,
                      core::Micros monotonic_now) {
-        lease_.record_vote(peer, asked_at, ttl, monotonic_now);
+        lease_.record_vote(peer, requested_at, ttl, monotonic_now);
     }
 
   private:
--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,15 +1,15 @@
-/// Whether this controller can serve workers, as it reports to its peers.
+/// Whether this controller can serve workers, which it reports to its peers.
 #pragma once
 
 namespace hatchwind::controller {
 
-/// Written by `ReachabilityMonitor` alone. A controller that is partitioned from the workers is unhealthy,
-/// and its shards move to others.
+/// Written only by `ReachabilityMonitor`. A controller that is partitioned from the workers is unhealthy, and
+/// its shards move to other controllers.
 class LocalHealth {
   public:
-    /// Until it is set, a controller counts as healthy.
+    /// Returns true if the controller is healthy; also true before the first check.
     bool is_healthy() const { return healthy_; }
-    /// The result of the latest check of the connectivity to workers.
+    /// Sets the result of the latest check of the connectivity to workers.
     void set_healthy(bool healthy) { healthy_ = healthy; }
 
   private:
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -19,11 +19,11 @@
 constexpr Micros kJoinRetry{200'000};
 constexpr Micros kJoinTimeout{1'500'000};
 constexpr Micros kRenewalGrace{300'000};
-constexpr std::size_t kExtensionRequestsKept = 16;
+constexpr std::size_t kMaxExtensionRequests = 16;
 constexpr Micros kEpochCheckInterval{150'000};
 constexpr Micros kEpochWriteTimeout{1'200'000};
 constexpr Micros kEpochReplicaTimeout{1'500'000};
-constexpr Micros kTurnLength{120'000};
+constexpr Micros kWriteDelayPerRank{120'000};
 }  // namespace
 
 Task<void> Membership::keep_store_lease() {
@@ -35,7 +35,7 @@
         }
         co_await context_.loop.sleep(context_.tunables.store_lease_renewal_interval);
         if (lost_member_key()) {
-            // Whatever took the key: without it the others may remove this controller.
+            // Without the key, other members may remove this controller.
             spdlog::warn("event=member_key_lost store_lease={}", context_.leadership.self().store_lease);
             context_.leadership.resign();
             continue;
@@ -66,10 +66,10 @@
     co_return true;
 }
 
-// The key tells everyone that a new incarnation of this controller has begun: the old one's commits, which
-// are conditional on the old key or epoch, fail from here on. Conditional on the key as it stands: a late
-// copy of this write, from an earlier incarnation or from an attempt that got no answer, would hand the key
-// to a store lease that nobody renews, and the key would vanish while this incarnation still acts.
+// The key announces a new incarnation of this controller: commits of the previous one, which are conditional
+// on the old key or epoch, fail from here on. The write is conditional on the key's current revision.
+// Otherwise a late copy of the write, from an earlier incarnation or an unanswered attempt, could attach the
+// key to a store lease that nobody renews, and the key would expire while this incarnation still acts.
 Task<std::optional<core::Revision>> Membership::write_member_key(std::uint64_t store_lease) {
     const std::string key = keys::member(context_.leadership.label());
     auto reading = context_.store.get(key, steady_now() + kJoinTimeout);
@@ -103,8 +103,9 @@
     } else if (outcome == StoreClient::Renewal::ended) {
         spdlog::warn("event=store_lease_expired store_lease={}", store_lease);
         context_.leadership.resign();
-    } else if (context_.leadership.lease_alive(steady_now())) {
-        // An outage, or a refusal of this controller alone: only the others can tell, by their votes.
+    } else if (context_.leadership.lease_valid(steady_now())) {
+        // Either the store is down, or it refuses only this controller. Only the votes of the other members
+        // can tell which.
         request_lease_extension();
     }
 }
@@ -115,21 +116,23 @@
     request.life_us = static_cast<std::uint64_t>(context_.tunables.lease_extension_ttl.count());
     request.revision = context_.replicated.revision();
     extension_requests_[request.number] = steady_now();
-    if (extension_requests_.size() > kExtensionRequestsKept)
+    if (extension_requests_.size() > kMaxExtensionRequests)
         extension_requests_.erase(extension_requests_.begin());
     context_.links.broadcast(request);
 }
 
 bool Membership::may_vote_for_extension() const {
-    // Never with working access to the store, nor while an epoch of ours may still be written, nor in an
-    // incarnation that has not put its own key: a write by an earlier one could still be under way.
-    // A vote vouches for every cancellation that this controller has confirmed to users, in earlier
-    // incarnations too: the replica has them all once it holds this incarnation's own key.
+    // No vote is given while this controller can reach the store, while an epoch write of its own may still
+    // be carried out, or before this incarnation has written its member key: a write of an earlier
+    // incarnation could still be in flight. A vote also has to carry every cancellation that
+    // this controller has confirmed to users, including those of earlier incarnations. The replica holds
+    // all of them once it holds this incarnation's member key.
     const ReplicatedState& replicated = context_.replicated;
     const bool complete = replicated.is_loaded() && replicated.revision() >= key_mod_revision_;
-    const bool unresolved = unresolved_ && *unresolved_ == replicated.epoch().mod_revision;
+    const bool epoch_write_pending =
+        unanswered_epoch_write_ && *unanswered_epoch_write_ == replicated.epoch().mod_revision;
     return complete && context_.leadership.self().store_lease != 0 &&
-           !context_.store.reachable(steady_now()) && !writing_ && !unresolved;
+           !context_.store.reachable(steady_now()) && !writing_epoch_ && !epoch_write_pending;
 }
 
 void Membership::handle_lease_extension_vote(const std::string& from, const wire::LeaseExtensionVote& vote) {
@@ -147,16 +150,16 @@
     for (const auto& [label, mod_revision] : plan.member_conditions)
         transaction.conditions.push_back({keys::member(label), mod_revision});
     transaction.writes.push_back({keys::kEpoch, wire::epoch_record(plan.next), 0});
-    writing_ = true;
+    writing_epoch_ = true;
     auto writing = context_.store.commit(std::move(transaction), steady_now() + kEpochWriteTimeout);
     const CommitResult result = co_await std::move(writing);
-    writing_ = false;
-    if (result.outcome == CommitOutcome::unknown) unresolved_ = current;
+    writing_epoch_ = false;
+    if (result.outcome == CommitOutcome::unknown) unanswered_epoch_write_ = current;
     if (result.outcome == CommitOutcome::committed) {
         spdlog::info("event=epoch_written number={} revision={}", plan.next.number, result.revision);
     }
     if (result.outcome == CommitOutcome::committed || result.outcome == CommitOutcome::conflict) {
-        // The watch brings it, and all that was committed before it.
+        // The watch delivers this revision and everything that was committed before it.
         auto waiting =
             context_.replica.wait_for_revision(result.revision, steady_now() + kEpochReplicaTimeout);
         co_await std::move(waiting);
@@ -174,41 +177,42 @@
         if (context_.peers.is_fresh(label, now) && !peer.heartbeat.healthy) input.unhealthy.insert(label);
     }
     if (!context_.health.is_healthy()) input.unhealthy.insert(self.label);
-    for (const auto& [label, until] : protected_until_) {
+    for (const auto& [label, until] : votes_given_until_) {
         if (until > now) input.protected_members.insert(label);
     }
-    input.bound_by_earlier_votes = now - started_ < context_.tunables.lease_extension_ttl;
+    input.bound_by_earlier_votes = now - started_at_ < context_.tunables.lease_extension_ttl;
     input.wall_clock_now = io::wall_now();
     return input;
 }
 
-bool Membership::is_turn_to_write(Micros now) {
+bool Membership::may_write_epoch(Micros now) {
     const std::string& label = context_.leadership.label();
     if (context_.replicated.epoch().leader == label) return true;
-    // Among equals the first by label goes first, so that they do not all write at once.
-    if (vacant_since_.count() == 0) vacant_since_ = now;
+    // The other controllers wait in the order of their labels, so that they don't all write at once.
+    if (epoch_needed_since_.count() == 0) epoch_needed_since_ = now;
     std::int64_t rank = 0;
     for (const auto& [member, record] : context_.replicated.member_records()) {
         if (member < label) ++rank;
     }
-    return now - vacant_since_ >= rank * kTurnLength;
+    return now - epoch_needed_since_ >= rank * kWriteDelayPerRank;
 }
 
 Task<void> Membership::keep_epoch() {
     while (true) {
         co_await context_.signals.replica_advanced.wait(steady_now() + kEpochCheckInterval);
         const Micros now = steady_now();
-        // Only with a certainly live store lease: the plan's conditions are on keys that it keeps.
+        // Requires a certainly valid lease: the plan's conditions include member keys, which exist only as
+        // long as their store leases.
         if (!context_.replicated.is_loaded() || context_.leadership.self().store_lease == 0 ||
-            !context_.leadership.lease_alive(now)) {
+            !context_.leadership.lease_valid(now)) {
             continue;
         }
         auto plan = core::plan_epoch(epoch_input(now));
         if (!plan) {
-            vacant_since_ = Micros{0};
+            epoch_needed_since_ = Micros{0};
             continue;
         }
-        if (!is_turn_to_write(now)) continue;
+        if (!may_write_epoch(now)) continue;
         auto writing = write_epoch(std::move(*plan));
         co_await std::move(writing);
     }
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -1,4 +1,5 @@
-/// Keeps this controller a member: its store lease and key, its leadership lease, and the epochs.
+/// Maintains this controller's membership: its store lease and member key, its leadership lease, and the
+/// epochs.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +22,7 @@
 
 namespace hatchwind::controller {
 
-/// What membership reads of this controller, and what it changes.
+/// The modules that Membership reads and changes.
 struct MembershipContext {
     io::Loop& loop;
     const Settings& settings;
@@ -36,27 +37,30 @@
     PeerLinks& links;
 };
 
-/// In an outage of the store the members extend one another's leadership leases by votes: a vote means that
-/// the voter will not write an epoch that removes the controller which asked. Times are monotonic.
+/// During an outage of the store the members extend each other's leadership leases by votes: a vote means
+/// that the voter will not write an epoch that removes the requesting controller. All times are monotonic.
 class Membership {
   public:
-    explicit Membership(const MembershipContext& context) : context_(context), started_(io::steady_now()) {}
+    explicit Membership(const MembershipContext& context)
+        : context_(context), started_at_(io::steady_now()) {}
 
-    /// Acquires the store lease, writes the member key, and renews both. Runs as long as the controller.
+    /// Acquires and renews the store lease and writes the member key. Runs as long as the controller.
     io::Task<void> keep_store_lease();
-    /// Writes the next epoch whenever one is needed and this controller may. Runs as long as the controller.
+    /// Writes the next epoch whenever one is needed and this controller may write it. Runs as long as the
+    /// controller.
     io::Task<void> keep_epoch();
 
-    /// True when a vote for another member's extension is safe. `PeerMesh` then records it.
+    /// Returns true if a vote for the extension of another member's lease is safe. The caller then records
+    /// the vote with record_vote_given().
     bool may_vote_for_extension() const;
-    /// This controller has voted not to remove the member of that label until that time.
-    void record_vote_given(const std::string& label, io::Micros until) { protected_until_[label] = until; }
-    /// Applies the cancellations that came with a vote. A vote that was given, in answer to a request that
-    /// still counts, extends the leadership lease.
+    /// Records that this controller has voted not to remove the member until the given time.
+    void record_vote_given(const std::string& label, io::Micros until) { votes_given_until_[label] = until; }
+    /// Applies the cancellations that came with a response to an extension request. Records the vote for the
+    /// leadership lease if it was given and its request is still remembered.
     void handle_lease_extension_vote(const std::string& from, const wire::LeaseExtensionVote& vote);
 
   private:
-    /// True once this incarnation has a store lease and its own key.
+    /// Returns true once this incarnation has a store lease and its own member key.
     io::Task<bool> join();
     io::Task<std::optional<core::Revision>> write_member_key(std::uint64_t store_lease);
     io::Task<void> renew();
@@ -64,22 +68,24 @@
     void request_lease_extension();
 
     core::EpochInput epoch_input(io::Micros now) const;
-    /// Controllers that could all write the next epoch take turns by their labels.
-    bool is_turn_to_write(io::Micros now);
+    /// Returns true if this controller may write the next epoch now. The cluster leader may at once; the
+    /// others wait for a time that grows with their rank by label, so that they don't all write at once.
+    bool may_write_epoch(io::Micros now);
     io::Task<void> write_epoch(core::EpochPlan plan);
 
     const MembershipContext context_;
-    const io::Micros started_;
-    std::map<std::string, io::Micros> protected_until_;  // label -> until when a vote of ours holds
-    // The mod revision on which an epoch write of ours was conditional that got no answer: until the epoch
-    // has moved on it may still be carried out, so no vote may be given.
-    std::optional<core::Revision> unresolved_;
-    bool writing_ = false;
-    core::Revision key_mod_revision_ = 0;  // of this incarnation's own key
-    // Begins at the time of day: a late vote for an earlier incarnation must not count for this one.
+    const io::Micros started_at_;
+    std::map<std::string, io::Micros> votes_given_until_;  // by label: end of this controller's vote
+    // The epoch's mod revision that this controller's last unanswered epoch write was conditional on. Until
+    // the epoch has changed, the write may still be carried out, so no vote may be given.
+    std::optional<core::Revision> unanswered_epoch_write_;
+    bool writing_epoch_ = false;
+    core::Revision key_mod_revision_ = 0;  // of this incarnation's member key
+    // Starts at the wall clock time, so that a late vote for an earlier incarnation doesn't match a request
+    // of this one.
     std::uint64_t extension_request_number_ = static_cast<std::uint64_t>(io::wall_now().count());
-    std::map<std::uint64_t, io::Micros> extension_requests_;  // number -> when it was sent
-    io::Micros vacant_since_{0};
+    std::map<std::uint64_t, io::Micros> extension_requests_;  // by number: time of sending
+    io::Micros epoch_needed_since_{0};                        // 0: no new epoch is needed
 };
 
 }  // namespace hatchwind::controller
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -7,7 +7,7 @@
 using core::Micros;
 
 namespace {
-constexpr Micros kFreshFor{1'800'000};
+constexpr Micros kMaxHeartbeatAge{1'800'000};
 }  // namespace
 
 PeerDirectory::PeerDirectory(const Settings& settings) {
@@ -27,7 +27,8 @@
 
 bool PeerDirectory::is_fresh(const std::string& label, Micros monotonic_now) const {
     const PeerStatus* peer = find(label);
-    return peer != nullptr && peer->received_at.count() != 0 && monotonic_now - peer->received_at < kFreshFor;
+    return peer != nullptr && peer->received_at.count() != 0 &&
+           monotonic_now - peer->received_at < kMaxHeartbeatAge;
 }
 
 std::vector<std::string> PeerDirectory::healthy_members(const core::Epoch& epoch, const std::string& self,
--- a/src/cluster/peer_directory.hpp
+++ b/src/cluster/peer_directory.hpp
@@ -1,4 +1,4 @@
-/// What each peer last said of itself.
+/// The last heartbeat of each peer.
 #pragma once
 
 #include <map>
@@ -17,7 +17,8 @@
     core::Micros received_at{0};  ///< monotonic clock; 0: never
 };
 
-/// Holds every configured peer from the start. Written by PeerMessageHandler as heartbeats come in.
+/// Holds an entry for every configured peer from the start. Written by PeerMessageHandler when a heartbeat
+/// arrives.
 class PeerDirectory {
   public:
     /// By label.
@@ -25,23 +26,26 @@
 
     explicit PeerDirectory(const Settings& settings);
 
-    /// Every configured peer, with or without a heartbeat.
+    /// All configured peers, including those without a heartbeat.
     const Peers& all() const { return peers_; }
-    /// Number of configured peers; this controller is none of them.
+    /// Number of configured peers, without this controller.
     std::size_t size() const { return peers_.size(); }
-    /// Null: no peer of that label is configured.
+    /// Returns null if no peer with the label is configured.
     const PeerStatus* find(const std::string& label) const;
-    /// The peer's last heartbeat, when it comes from the incarnation that the epoch names; else null.
+    /// Returns the peer's last heartbeat if it comes from the incarnation that `member` names, otherwise
+    /// null.
     const wire::PeerHeartbeat* heartbeat_of(const core::Member& member) const;
-    /// A heartbeat of the peer came in within the last seconds.
+    /// Returns true if a heartbeat of the peer was received recently.
     bool is_fresh(const std::string& label, core::Micros monotonic_now) const;
-    /// Members of the epoch, `self` apart, that are fresh and say that they can serve workers.
+    /// Returns the labels of the epoch's members other than `self` whose last heartbeat is recent and reports
+    /// that they can serve workers.
     std::vector<std::string> healthy_members(const core::Epoch& epoch, const std::string& self,
                                              core::Micros monotonic_now) const;
 
-    /// False for one that is older than the last: a held connection may deliver old ones after newer.
+    /// Returns false if the heartbeat was sent before the peer's last one. A delayed connection may deliver
+    /// old heartbeats after newer ones.
     bool is_newer(const std::string& label, const wire::PeerHeartbeat& heartbeat) const;
-    /// Keeps the heartbeat as the last one of the peer. The caller has checked that it is newer.
+    /// Replaces the peer's last heartbeat. The caller has checked it with is_newer().
     void record(const std::string& label, wire::PeerHeartbeat heartbeat, core::Micros monotonic_now);
 
   private:
--- a/src/cluster/peer_links.cpp
+++ b/src/cluster/peer_links.cpp
@@ -3,13 +3,14 @@
 namespace hatchwind::controller {
 
 namespace {
-// Of each controller's memory, this part may wait for one peer.
-constexpr std::size_t kQueueParts = 64;
+// The queue of each peer is limited to this part of the controller's memory.
+constexpr std::size_t kQueueMemoryDivisor = 64;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
 }  // namespace
 
 PeerLinks::PeerLinks(io::Loop& loop, const Settings& settings)
-    : queue_limit_(static_cast<std::size_t>(settings.memory_mb * kBytesPerMegabyte) / kQueueParts) {
+    : max_queued_bytes_(static_cast<std::size_t>(settings.memory_mb * kBytesPerMegabyte) /
+                        kQueueMemoryDivisor) {
     for (const auto& peer : settings.peers) links_[peer.label] = std::make_unique<PeerLink>(loop, peer);
 }
 
@@ -19,9 +20,9 @@
 
 bool PeerLinks::push_frame(PeerLink& link, const std::string& frame) const {
     if (!link.connected) return false;
-    if (link.out.size() > queue_limit_) {
-        // A peer that does not read: what it misses, the full cluster view makes good as soon as it has read
-        // the rest.
+    if (link.out.size() > max_queued_bytes_) {
+        // The peer does not read. Once it has read the queued frames, it is sent the full cluster view in
+        // place of the dropped ones.
         link.missed = true;
         return false;
     }
--- a/src/cluster/peer_links.hpp
+++ b/src/cluster/peer_links.hpp
@@ -1,4 +1,4 @@
-/// The outgoing side of the controllers' own network: a queue of frames for each peer.
+/// Outgoing connections to the other controllers, with a queue of frames for each peer.
 #pragma once
 
 #include <map>
@@ -12,22 +12,24 @@
 
 namespace hatchwind::controller {
 
-/// What waits to be sent to one peer, and what has been reported on the present connection to it.
+/// The queue of frames for one peer, and the state of the current connection to it.
 struct PeerLink {
     PeerLink(io::Loop& loop, Peer configured) : peer(std::move(configured)), filled(loop) {}
 
     Peer peer;
-    std::string out;    ///< frames that wait; bounded
-    io::Signal filled;  ///< something was queued
+    std::string out;    ///< encoded frames to be sent; bounded
+    io::Signal filled;  ///< notified when a frame is queued
     bool connected = false;
-    io::Micros connected_at{0};       ///< monotonic clock: when the present connection was made
-    bool missed = false;              ///< the queue was full when something was to be sent
-    io::Micros answered_until{0};     ///< wall clock: lease renewals have been reported up to then
-    std::uint64_t released_told = 0;  ///< position in the released machines, likewise
-    io::Micros confirmed{0};  ///< monotonic clock: the peer last said that it hears us, or the link was made
+    io::Micros connected_at{0};       ///< monotonic clock: start of the current connection
+    bool missed = false;              ///< a frame was dropped because the queue was full
+    io::Micros answered_until{0};     ///< wall clock: lease renewals before it are reported
+    std::uint64_t released_told = 0;  ///< position in the released machines up to which they are reported
+    /// Monotonic clock: when the peer last reported that it receives this controller's frames; initially the
+    /// start of the connection.
+    io::Micros confirmed{0};
 };
 
-/// Frames for a peer that is not connected are dropped: a new connection begins with the whole cluster view.
+/// Frames for a disconnected peer are dropped: each new connection begins with the whole cluster view.
 class PeerLinks {
   public:
     /// By label.
@@ -35,23 +37,23 @@
 
     PeerLinks(io::Loop& loop, const Settings& settings);
 
-    /// One link for each configured peer, connected or not.
+    /// The links to all configured peers, connected or not.
     Links& all() { return links_; }
-    /// One link for each configured peer, connected or not.
+    /// The links to all configured peers, connected or not.
     const Links& all() const { return links_; }
-    /// True for the label of a configured peer.
+    /// Returns true if a peer with the label is configured.
     bool contains(const std::string& label) const { return links_.contains(label); }
-    /// The link of a configured peer.
+    /// Returns the link to a configured peer.
     PeerLink& at(const std::string& label) { return *links_.at(label); }
-    /// False when the queue of the link is full, or there is no connection.
+    /// Queues the message. Returns false if the link is not connected or its queue is full.
     bool push(PeerLink& link, const wire::PeerMessage& message) const;
-    /// To every connected peer.
+    /// Queues the message for every connected peer whose queue is not full.
     void broadcast(const wire::PeerMessage& message);
 
   private:
     bool push_frame(PeerLink& link, const std::string& frame) const;
 
-    std::size_t queue_limit_;  // bytes
+    std::size_t max_queued_bytes_;  // bytes
     Links links_;
 };
 
--- a/src/cluster/peer_reservations.hpp
+++ b/src/cluster/peer_reservations.hpp
@@ -1,4 +1,4 @@
-/// Capacity that other controllers are clearing for their tasks.
+/// Capacity that other controllers are freeing for their tasks.
 #pragma once
 
 #include <map>
@@ -8,22 +8,22 @@
 
 namespace hatchwind::controller {
 
-/// Written by PeerMessageHandler; placement leaves the reserved capacity alone until each reservation runs
-/// out.
+/// Written by PeerMessageHandler. Placement does not use reserved capacity until the reservation expires.
 class PeerReservations {
   public:
-    /// By the task that the capacity is for.
+    /// By the task that the capacity is reserved for.
     using Reservations = std::map<core::TaskRef, core::Reservation>;
 
     /// Number of reservations.
     std::size_t size() const { return reservations_.size(); }
-    /// Adds a reservation, or replaces the earlier one for that task.
+    /// Adds a reservation or replaces the task's previous one.
     void put(const core::TaskRef& task, core::Reservation reservation) {
         reservations_[task] = std::move(reservation);
     }
-    /// Those that have run out may still be among them: see drop_settled.
+    /// May contain expired reservations: see drop_settled().
     const Reservations& all() const { return reservations_; }
-    /// Drops those that have run out, and those whose task has been started where the capacity was cleared.
+    /// Removes reservations that have expired, and those whose task has an open attempt on the reserved
+    /// machine.
     void drop_settled(const core::JobTable& job_table, core::Micros monotonic_now) {
         std::erase_if(reservations_, [&](const auto& entry) {
             const auto& [task, reservation] = entry;
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -1,4 +1,4 @@
-// Cancellations and leases where the state service, the leader and the workers fail together.
+// Cancellations and worker leases when the state service, the leader and workers fail at the same time.
 #include "controller/controller.hpp"
 #include "site.hpp"
 #include "store/store_keys.hpp"
@@ -35,15 +35,17 @@
 
 constexpr Micros kSecond{1'000'000};
 
-// The worker reaches nobody, and its later incarnations are learned from answers to direct commands. Their
-// leases were taken for expired with that of the last answered heartbeat, and tasks were started twice.
+// The worker's heartbeats reach no controller, and its later incarnations are known only from answers to
+// commands. If their leases counted from the last answered heartbeat, they would be taken for expired, and
+// tasks would be started twice.
 TEST(IncarnationLease, IsCountedFromTheFirstHeartbeatOfTheIncarnation) {
     test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
-    // Nothing was answered since.
+    // No heartbeat has been answered since then.
     state.heartbeat_answered_by_peer(heartbeat_of_incarnation(1, 1), now - 30 * kSecond);
     state.workers.handle_response(heartbeat_of_incarnation(2, 2));
-    EXPECT_FALSE(state.leases.is_expired("n-1", 2, now + 9 * kSecond)) << "it may have begun just now";
+    EXPECT_FALSE(state.leases.is_expired("n-1", 2, now + 9 * kSecond))
+        << "the incarnation may have begun just now";
     EXPECT_TRUE(state.leases.is_expired("n-1", 2, now + 13 * kSecond));
 }
 
@@ -87,7 +89,7 @@
     replicated.advance_to(12);
     EXPECT_FALSE(replicated.apply_cancellations({{"req-1", 11, 5}}));
     EXPECT_FALSE(replicated.job_table().find("req-1")->job.cancelled)
-        << "the replica has come further, so it knows better";
+        << "the replica is newer than the notice";
     EXPECT_TRUE(replicated.apply_cancellations({{"req-1", 13, 5}, {"req-2", 14, 5}}));
     EXPECT_TRUE(replicated.job_table().find("req-1")->job.cancelled);
     EXPECT_EQ(replicated.job_table().find("req-1")->mod_revision, 13U);
@@ -96,26 +98,26 @@
     EXPECT_TRUE(replicated.cancellations_after(13).empty());
 }
 
-// What the runs with an outage after a cancellation vary.
-struct Gap {
-    Micros before_cancel{100'000};  // from the refusal of the leader
-    Micros before_outage{50'000};   // from the confirmed cancel
-    bool canceller_ends = false;    // right after its answer
-    bool mesh_cut = false;          // between the leader and the others, with the refusal
-    bool machine_hangs = false;     // one with a task of the job, just before the cancel
-    Micros within{7'000'000};       // from the confirmed cancel to the end of the last task
+// Parameters of a run with an outage after a cancellation.
+struct OutageScenario {
+    Micros before_cancel{100'000};    // from the time at which the state service refuses the leader
+    Micros before_outage{50'000};     // from the confirmed cancel to the outage
+    bool canceller_crashes = false;   // the controller that confirms the cancel ends right after it
+    bool mesh_cut = false;            // the refused leader is also cut off from its peers
+    bool machine_hangs = false;       // a machine with a task of the job hangs just before the cancel
+    Micros max_stop_time{7'000'000};  // maximum time from the confirmed cancel to the end of the last task
 };
 
-// The state service fails the leading controller alone, another one confirms a cancel, and then the state
-// service is down for all, for longer than the cancel may take.
-void play_gap(const Gap& gap) {
+// The state service first refuses only the leader. Another controller confirms a cancel, and then the state
+// service is down for all controllers, for longer than a cancel may take.
+void run_outage_scenario(const OutageScenario& scenario) {
     Site site{3, 0};
     site.world.lease_s = 4;
     site.cancel_s = 7;
-    site.kill(1);  // the relayed controller leads and owns the shards
+    site.kill(1);  // leaves n0, behind its relay, as leader and shard owner
     site.kill(2);
     site.world.endless = {"req-1"};
-    site.play([gap](Site& s) -> Task<void> {
+    site.play([scenario](Site& s) -> Task<void> {
         const std::function<bool()> led = [&] { return s.leader() == "n0"; };
         auto leading = s.until(led);
         co_await std::move(leading);
@@ -128,53 +130,54 @@
         };
         auto members = s.until(joined);
         co_await std::move(members);
-        if (gap.mesh_cut) {
+        if (scenario.mesh_cut) {
             s.cut_off(true);
         } else {
             s.cut_store(true);
         }
-        co_await s.loop.sleep(gap.before_cancel);
-        if (gap.machine_hangs) s.cloud.workers.at(s.world.running.begin()->second)->hung = true;
+        co_await s.loop.sleep(scenario.before_cancel);
+        if (scenario.machine_hangs) s.cloud.workers.at(s.world.running.begin()->second)->hung = true;
         auto cancelling = s.call(1, "POST", "/api/jobs/req-1/cancel", nullptr);
         const auto answer = co_await std::move(cancelling);
         EXPECT_EQ(answer.first, 200);
         EXPECT_EQ(answer.second["status"], "cancelled");
         const Micros confirmed = io::steady_now();
-        if (gap.canceller_ends) s.kill(1);
-        co_await s.loop.sleep(gap.before_outage);
+        if (scenario.canceller_crashes) s.kill(1);
+        co_await s.loop.sleep(scenario.before_outage);
         s.state.down = true;
-        const std::function<bool()> gone = [&] {
+        const std::function<bool()> all_stopped = [&] {
             return s.world.running.empty() || io::steady_now() - confirmed > Micros{9'000'000};
         };
-        auto ending = s.until(gone);
+        auto ending = s.until(all_stopped);
         co_await std::move(ending);
-        EXPECT_LT(io::steady_now() - confirmed, gap.within);
+        EXPECT_LT(io::steady_now() - confirmed, scenario.max_stop_time);
         s.state.down = false;
-        if (gap.mesh_cut) s.cut_off(false);
+        if (scenario.mesh_cut) s.cut_off(false);
         s.cut_store(false);
-        if (gap.canceller_ends) s.start(1);
+        if (scenario.canceller_crashes) s.start(1);
         auto final = s.until_status("req-1", "cancelled");
         co_await std::move(final);
     });
 }
 
-// The shard owner is notified, so it need not wait for others to stop its tasks.
+// The shard owner is notified of the cancellation, so it stops its tasks without waiting for other
+// controllers.
 TEST(OutageAfterCancel, TheShardOwnerStopsTheTasksAtOnce) {
-    Gap gap;
-    gap.within = Micros{1'500'000};
-    play_gap(gap);
+    OutageScenario scenario;
+    scenario.max_stop_time = Micros{1'500'000};
+    run_outage_scenario(scenario);
 }
 TEST(OutageAfterCancel, TasksAreGoneWhenTheOutageComesASecondLater) {
-    play_gap({Micros{50'000}, Micros{900'000}, false, false, false});
+    run_outage_scenario({Micros{50'000}, Micros{900'000}, false, false, false});
 }
 TEST(OutageAfterCancel, TasksAreGoneWhenTheAnsweringControllerCrashesAtOnce) {
-    play_gap({Micros{100'000}, Micros{50'000}, true, false, false});
+    run_outage_scenario({Micros{100'000}, Micros{50'000}, true, false, false});
 }
 TEST(OutageAfterCancel, TasksAreGoneWhenTheShardOwnerIsPartitioned) {
-    play_gap({Micros{100'000}, Micros{50'000}, false, true, false});
+    run_outage_scenario({Micros{100'000}, Micros{50'000}, false, true, false});
 }
 TEST(OutageAfterCancel, AMachineThatHangsIsReleasedInTime) {
-    play_gap({Micros{100'000}, Micros{50'000}, false, false, true});
+    run_outage_scenario({Micros{100'000}, Micros{50'000}, false, false, true});
 }
 
 }  // namespace
--- a/tests/reachability_probes_test.cpp
+++ b/tests/reachability_probes_test.cpp
@@ -1,4 +1,4 @@
-// Which machines are probed when.
+// The order, interval and backoff of reachability probes.
 #include "workers/reachability_probes.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/start_fence_test.cpp
+++ b/tests/start_fence_test.cpp
@@ -1,17 +1,13 @@
-// Starts after a confirmed cancel.
+// Guards against tasks that start after a controller has confirmed the job's cancellation, in its answer to a
+// cancel, a poll or a repeated submission.
 //
-// What happens: a user is told that a job is cancelled, by any controller, to a cancel, a poll or a repeated
-// submission, and a task of the job starts after that.
+// Without the fence, the shard owner sends starts until it learns of the cancellation. A start may be in
+// flight to its worker, wait in the queue of its machine for one iteration of the event loop, or come from a
+// replica that lags behind. A task whose image is being fetched may begin before its stop reaches the worker.
 //
-// Why: the job's shard owner sends starts until it learns of the cancellation, and whoever commits or reads
-// the cancellation does not know what is under way there. A start may be in flight to its worker, wait one
-// turn in the queue of its machine, or come from a replica that lags; and a task whose image is being fetched
-// begins before the stop reaches its worker.
-//
-// What showed it: UserAnswers.NothingStartsAfterAnyAnswerThatSaysCancelled failed in 4 of 300 processes, 30
-// at a time. In the simulator, gap.toml with seed 24, the trace has "cancellation sent at 6.315883: 200
-// cancelled" at 6.326487, and three fetching tasks of the job "on machine" at 6.338491, before their stop
-// arrives.
+// Without the fence, UserAnswers.NothingStartsAfterAnyAnswerThatSaysCancelled fails in 4 of 300 processes, 30
+// at a time. In the simulator, gap.toml with seed 24 has a cancel that is confirmed at 6.326487 s (sent at
+// 6.315883 s) and three fetching tasks that begin at 6.338491 s, before their stop arrives.
 #include "workers/start_fence.hpp"
 
 #include <gtest/gtest.h>
@@ -35,8 +31,7 @@
 
 constexpr const char* kJob = "req-7";
 
-// Against a plain model: a job is held until kHoldTime after its last request, and there are never more than
-// kMaxHolds.
+// Compares StartHolds with a simple model: a job is held until kHoldTime after its last request.
 TEST(StartHolds, LastUntilTheyExpireInAnySequence) {
     test::holds("holds", [] {
         StartHolds holds;
@@ -68,7 +63,7 @@
     EXPECT_TRUE(holds.holds("req-" + std::to_string(StartHolds::kMaxHolds), now));
 }
 
-// One controller, n0, with the links to its peer n1 in place of a network.
+// Controller n0 without a network: frames for its peer n1 stay in the queue of the link.
 class Harness {
   public:
     Harness()
@@ -107,8 +102,8 @@
         heartbeat.capabilities = capabilities;
         peers.record("n1", std::move(heartbeat), io::steady_now());
     }
-    // Runs one fence to its end; `beside` is called once it waits.
-    bool run_fence(const std::string& team, Micros wait, const std::function<void()>& beside) {
+    // Runs fence() to completion and returns its result; `while_waiting` is called once it waits.
+    bool run_fence(const std::string& team, Micros wait, const std::function<void()>& while_waiting) {
         bool fenced = false;
         const auto fencing = [](Harness& harness, std::string job_team, Micros until,
                                 bool& result) -> Task<void> {
@@ -123,7 +118,7 @@
         };
         io::Scope running;
         running.spawn(fencing(*this, team, io::steady_now() + wait, fenced));
-        running.spawn(event(*this, beside));
+        running.spawn(event(*this, while_waiting));
         loop.run();
         return fenced;
     }
@@ -154,7 +149,7 @@
 };
 
 constexpr Micros kShortWait{50'000};
-constexpr Micros kUsersPatience{5'000'000};  // with one cancel
+constexpr Micros kCancelAnswerTimeout{5'000'000};  // how long a user waits for the answer to a cancel
 
 TEST(StartFence, AsksNobodyThatDoesNotAnnounceTheRequest) {
     Harness harness;
@@ -163,7 +158,7 @@
     EXPECT_TRUE(harness.links.at("n1").out.empty());
 }
 
-// What it announced before the present connection may be the word of another version.
+// Capabilities that were announced on an earlier connection may be those of another version.
 TEST(StartFence, AsksNobodyThatWasNotHeardOnThePresentConnection) {
     Harness harness;
     harness.peer_announces(core::kCapabilities);
@@ -181,7 +176,7 @@
         const auto* request = std::get_if<wire::StartHoldRequest>(&messages.front());
         ASSERT_NE(request, nullptr);
         EXPECT_EQ(request->job, kJob);
-        harness.fence.handle_acknowledgement({request->number + 1});  // of no request
+        harness.fence.handle_acknowledgement({request->number + 1});  // matches no request
         harness.fence.handle_acknowledgement({request->number});
         harness.fence.handle_acknowledgement({request->number});  // a late copy
     };
@@ -192,7 +187,7 @@
     Harness harness;
     harness.peer_announces(core::kCapabilities);
     EXPECT_FALSE(harness.run_fence("y", kShortWait, [] {}));
-    // An acknowledgement that comes too late changes nothing.
+    // A late acknowledgement has no effect.
     harness.fence.handle_acknowledgement({1});
     EXPECT_FALSE(harness.run_fence("y", kShortWait, [] {}));
 }
@@ -209,7 +204,7 @@
     const auto messages = harness.sent();
     ASSERT_EQ(messages.size(), 1U);
     EXPECT_EQ(std::get<wire::StartHoldAcknowledgement>(messages.front()).number, 5U);
-    // A late copy of the request holds the job anew, for a bounded time, and is answered like the first.
+    // A late copy of the request renews the hold for a bounded time and is answered like the first one.
     harness.fence.handle_request("n1", {5, kJob, UINT64_MAX});
     EXPECT_EQ(harness.sent().size(), 2U);
     EXPECT_FALSE(harness.holds.holds(kJob, io::steady_now() + StartHolds::kHoldTime));
@@ -231,8 +226,8 @@
     });
 }
 
-// Submits an endless job, and cancels it by way of that controller as soon as its start is recorded. Returns
-// how often its task started after that answer.
+// Submits an endless job and cancels it through controller `node` as soon as its start is recorded. Returns
+// how often its task started after the answer.
 Task<int> starts_after_cancel(Site& s, std::string id, std::string team, std::string form, std::size_t node) {
     {
         auto step = s.submit(id, std::move(team), std::move(form), 1);
@@ -252,8 +247,8 @@
     co_return s.world.started[id + "/0"] - before;
 }
 
-// Commands take 200 ms to be carried out. Each controller cancels a job of each team, so that every pair of
-// the one that commits and the shard owner comes about; arrays, services and gangs in turn.
+// Workers take 200 ms to carry out commands. Each controller cancels a job of each team, which covers every
+// pair of committing controller and shard owner. The jobs alternate between arrays, services and gangs.
 TEST(StartFence, AStartInFlightIsOverBeforeAnyControllerSaysCancelled) {
     Site site{3};
     site.world.endless = {"req-10", "req-11", "req-12", "req-20", "req-21",
@@ -276,8 +271,8 @@
     });
 }
 
-// The record of the cancel is conditional on the epoch under which the job was fenced: the next epoch's shard
-// owner has not held it.
+// The commit of the cancel is conditional on the epoch under which the job was fenced, because the shard
+// owner of the next epoch has not held the job.
 TEST(StartFence, ANewEpochBetweenHoldAndCommitFencesTheJobAnew) {
     Site site{2};
     site.world.endless = {"req-2"};
@@ -310,8 +305,8 @@
     });
 }
 
-// A worker that answers no command, and a shard owner that has ended: the user has an answer all the same,
-// well within the 5 s of the protocol.
+// Even if a worker answers no commands or the shard owner has crashed, the user gets an answer within the 5 s
+// of the protocol.
 TEST(StartFence, AnUnreachableWorkerOrShardOwnerDelaysTheAnswerByABoundOnly) {
     Site site{3};
     site.world.endless = {"req-2", "req-3"};
@@ -336,14 +331,14 @@
             auto cancel = s.call(other, "POST", std::move(target), nullptr);
             const auto answer = co_await std::move(cancel);
             EXPECT_EQ(answer.first, 200) << id;
-            EXPECT_LT(io::steady_now() - asked, kUsersPatience);
+            EXPECT_LT(io::steady_now() - asked, kCancelAnswerTimeout);
             if (s.up(s.index(owner))) s.kill(s.index(owner));
         }
         for (auto& [id, worker] : s.cloud.workers) worker->hold_orders = false;
     });
 }
 
-// The commit of the cancel is refused throughout, and the user gives up: the job runs on once the hold has
+// If every commit of the cancel is refused and the user gives up, the job continues once the hold has
 // expired.
 TEST(StartFence, AJobWhoseCancelIsNeverCommittedRunsOn) {
     Site site{1};
@@ -376,7 +371,7 @@
     });
 }
 
-// Runs that once showed starts of tasks whose image came between the answer and the stop.
+// Without the fence, a task starts in these runs because its image arrives between the answer and the stop.
 TEST(StartFence, NothingStartsAfterAConfirmedCancelInAGap) {
     for (const std::uint64_t seed : {21, 24, 72, 85}) {
         const auto play = test::play_scenario("gap", seed);
@@ -386,17 +381,15 @@
 
 // Known to fail, listed in KNOWN-RED.txt.
 //
-// What happens: a task of a cancelled job is started after its user was told, and stopped in the same
-// request.
-//
-// Why: a command with the start got no answer within 2.5 s, so a copy of it may still arrive. stop_unlisted
-// of CommandDispatcher then sends the same start once more with a stop behind it: the worker knows the
-// attempt as exited from then on, and the late copy runs nothing. Where the image is cached, the task is on
-// its machine for a moment. Where the first copy was lost, that start would never have come.
+// A task of a cancelled job is started after the cancellation was confirmed, and is stopped in the same
+// request. A request with the start gets no answer within 2.5 s, so a copy of it may still arrive.
+// stop_unlisted() of CommandDispatcher then sends the start again, followed by a stop: from then on the
+// worker knows the attempt as exited, and a late copy starts nothing. If the image is cached, the task runs
+// on its machine for a moment. If the first copy was lost, the task would never have started otherwise.
 //
-// What showed it: traces of one_way.toml, seeds 1 to 200: 12 starts after a confirmed cancel in 10 runs; 11
-// of them are accepted after the answer to the user, and stopped at the same microsecond. The other one was
-// accepted before.
+// In traces of one_way.toml, seeds 1 to 200, there are 12 starts after a confirmed cancel in 10 runs. Of
+// these, 11 are accepted after the answer to the user and stopped in the same microsecond; the other one is
+// accepted before the answer.
 TEST(StartFence, NothingStartsAfterAConfirmedCancelWhenCommandsGetNoAnswer) {
     for (const std::uint64_t seed : {14, 79, 99, 164, 190}) {
         const auto play = test::play_scenario("one_way", seed);
