--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -124,9 +124,11 @@
 bool Membership::may_vote_for_extension() const {
     // No vote is given while this controller can reach the store, while an epoch write of its own may still
     // be carried out, or before this incarnation has written its member key: a write of an earlier
-    // incarnation could still be in flight. A vote also has to carry every cancellation that
-    // this controller has confirmed to users, including those of earlier incarnations. The replica holds
-    // all of them once it holds this incarnation's member key.
+    // incarnation could still be in flight.
+    //
+    // A vote also has to carry every cancellation that this controller has confirmed to users, including
+    // those of earlier incarnations. The replica holds all of them once it holds this incarnation's member
+    // key.
     const ReplicatedState& replicated = context_.replicated;
     const bool complete = replicated.is_loaded() && replicated.revision() >= key_mod_revision_;
     const bool epoch_write_pending =
--- a/src/cluster/peer_links.hpp
+++ b/src/cluster/peer_links.hpp
@@ -53,7 +53,7 @@
   private:
     bool push_frame(PeerLink& link, const std::string& frame) const;
 
-    std::size_t max_queued_bytes_;  // bytes
+    std::size_t max_queued_bytes_;
     Links links_;
 };
 
--- a/src/workers/reachability_monitor.hpp
+++ b/src/workers/reachability_monitor.hpp
@@ -54,8 +54,8 @@
     /// Returns the addresses of workers whose last heartbeat, received by any controller, is at most
     /// `max_age` old.
     std::vector<io::Address> workers_with_recent_heartbeat(io::Micros max_age) const;
-    /// Requests the status of a few of the workers, one by one, and returns true as soon as one
-    /// answers. `addresses` must not be empty.
+    /// Requests the status of a few of the workers, one by one, and returns true as soon as one answers.
+    /// `addresses` must not be empty.
     io::Task<bool> reaches_any_worker(std::vector<io::Address> addresses);
 
     const ReachabilityContext context_;
--- a/src/workers/reachability_probes.hpp
+++ b/src/workers/reachability_probes.hpp
@@ -55,8 +55,8 @@
     /// Records that a probe of the machine is being sent. The machine is not due again while that probe may
     /// be in flight. Ignored if the machine is not in the table.
     void record_probe_sent(const std::string& machine, core::Micros monotonic_now);
-    /// Records an unanswered probe: doubles the interval to the next one, up to a bound. Ignored if
-    /// the machine is not in the table.
+    /// Records an unanswered probe: doubles the interval to the next one, up to a bound. Ignored if the
+    /// machine is not in the table.
     void back_off(const std::string& machine, core::Micros monotonic_now);
     /// Records an unanswered request of any kind, and adds the machine to the table if it isn't there.
     void record_unanswered(const std::string& machine, core::Micros monotonic_now);
--- a/src/workers/worker_status.hpp
+++ b/src/workers/worker_status.hpp
@@ -42,8 +42,7 @@
     const core::ClusterView& cluster_view() const { return cluster_view_; }
     /// Monotonic time at which a worker last sent a heartbeat to this controller or answered it; 0: never.
     core::Micros last_contact_at() const { return last_contact_at_; }
-    /// The drain candidates last reported by the cluster leader. They take tasks only if no other machine
-    /// can.
+    /// The drain candidates last reported by the cluster leader. Placement uses them only as a last resort.
     const std::set<std::string>& drain_candidates() const { return drain_candidates_; }
     /// Replaces the drain candidates.
     void set_drain_candidates(std::set<std::string> machines) { drain_candidates_ = std::move(machines); }
--- a/tests/start_fence_test.cpp
+++ b/tests/start_fence_test.cpp
@@ -6,8 +6,9 @@
 // replica that lags behind. A task whose image is being fetched may begin before its stop reaches the worker.
 //
 // Without the fence, UserAnswers.NothingStartsAfterAnyAnswerThatSaysCancelled fails in 4 of 300 processes, 30
-// at a time. In the simulator, gap.toml with seed 24 has a cancel that is confirmed at 6.326487 s (sent at
-// 6.315883 s) and three fetching tasks that begin at 6.338491 s, before their stop arrives.
+// at a time. In the simulator, gap.toml with seed 24 has a cancel that is sent at 6.315883 s and answered
+// with 200 (cancelled) at 6.326487 s, and three fetching tasks that begin at 6.338491 s, before their stop
+// arrives.
 #include "workers/start_fence.hpp"
 
 #include <gtest/gtest.h>
