--- a/src/workers/worker_http_limits.hpp
+++ b/src/workers/worker_http_limits.hpp
@@ -5,7 +5,7 @@
 
 namespace hatchwind::controller {
 
-/// A worker's status with all its tasks.
+/// Maximum size of a worker's status, which lists all its tasks.
 constexpr std::size_t kMaxWorkerStatusBytes = std::size_t{256} * 1024;
 
 }  // namespace hatchwind::controller
