--- a/src/api/dependency_admission.cpp
+++ b/src/api/dependency_admission.cpp
@@ -73,10 +73,10 @@
     const auto& records = replicated_.member_records();
     if (const auto record = records.find(member.label);
         record != records.end() && record->second.store_lease == member.store_lease &&
-        (record->second.capabilities & core::kKnowsWaitingJobs) != 0)
+        (record->second.capabilities & core::kSupportsWaitingJobs) != 0)
         return true;
     const wire::PeerHeartbeat* heartbeat = peers_.heartbeat_of(member);
-    return heartbeat != nullptr && (heartbeat->capabilities & core::kKnowsWaitingJobs) != 0;
+    return heartbeat != nullptr && (heartbeat->capabilities & core::kSupportsWaitingJobs) != 0;
 }
 
 bool DependencyAdmission::all_support_waiting_jobs() const {
@@ -91,7 +91,7 @@
 }
 
 core::TerminalStateLookup DependencyAdmission::terminal_state_lookup() const {
-    return [this](const std::string& job) { return final_states_.ending(job); };
+    return [this](const std::string& job) { return final_states_.terminal_state(job); };
 }
 
 std::vector<std::string> DependencyAdmission::undecided(const std::vector<std::string>& jobs) const {
@@ -143,10 +143,11 @@
         if (result.lookup != Lookup::absent) co_return std::nullopt;
         co_return DependencyStatus::never_accepted;
     }
-    if (core::look_back(replicated_.job_table(), dependencies, terminal_state_lookup()).cancelled)
+    if (core::resolve_transitive_dependencies(replicated_.job_table(), dependencies, terminal_state_lookup())
+            .cancelled)
         co_return DependencyStatus::cancelled;
     std::erase_if(dependencies, [&](const std::string& id) {
-        return final_states_.ending(id) == core::TerminalState::done;
+        return final_states_.terminal_state(id) == core::TerminalState::done;
     });
     co_return dependencies.empty() ? DependencyStatus::none : DependencyStatus::wait;
 }
@@ -214,8 +215,8 @@
                                                                                 Micros deadline) {
     const std::vector<std::string> jobs{id};
     for (int round = 0; round < kMaxAncestryRounds; ++round) {
-        const core::Ancestry ancestry =
-            core::look_back(replicated_.job_table(), jobs, terminal_state_lookup());
+        const core::TransitiveDependencyStatus ancestry =
+            core::resolve_transitive_dependencies(replicated_.job_table(), jobs, terminal_state_lookup());
         if (ancestry.cancelled) co_return Verdict::cancelled;
         if (!ancestry.complete) co_return Verdict::undecided;
         if (ancestry.unknown_terminal_states.empty()) co_return Verdict::not_cancelled;
--- a/src/api/feasibility.cpp
+++ b/src/api/feasibility.cpp
@@ -52,7 +52,7 @@
     if (zones.empty()) return Infeasibility::no_machine_type;
     // All tasks of a gang run at once; of other jobs as many may run as one zone takes.
     const bool one_zone = job.one_zone || zones.size() == 1;
-    if (job.kind == core::JobKind::gang && one_zone && job.zone_cap() < job.tasks)
+    if (job.kind == core::JobKind::gang && one_zone && job.max_tasks_per_zone() < job.tasks)
         return Infeasibility::cannot_be_spread;
     if (exceeds_limit(job, team->second)) return Infeasibility::exceeds_team_limit;
     return std::nullopt;
--- a/src/cluster/leadership.cpp
+++ b/src/cluster/leadership.cpp
@@ -17,7 +17,7 @@
     : replicated_(replicated), self_{settings.label, 0}, lease_(labels_of(settings.peers)) {}
 
 bool Leadership::holds_leadership() const {
-    if (!replicated_.is_loaded() || !lease_.alive(io::steady_now())) return false;
+    if (!replicated_.is_loaded() || !lease_.is_valid(io::steady_now())) return false;
     const core::Member* member = replicated_.epoch().member(self_.label);
     return member != nullptr && *member == self_;
 }
@@ -34,11 +34,11 @@
 
 void Leadership::join(std::uint64_t store_lease, core::Micros requested_at, core::Micros ttl) {
     self_.store_lease = store_lease;
-    lease_.renewed(requested_at, ttl);
+    lease_.record_renewal(requested_at, ttl);
 }
 
 void Leadership::resign() {
-    lease_.lost();
+    lease_.invalidate();
     self_.store_lease = 0;
 }
 
--- a/src/cluster/leadership.hpp
+++ b/src/cluster/leadership.hpp
@@ -22,7 +22,7 @@
     const std::string& label() const { return self_.label; }
     /// Returns true while the leadership lease is certainly valid. This alone permits nothing: see
     /// holds_leadership().
-    bool lease_valid(core::Micros monotonic_now) const { return lease_.alive(monotonic_now); }
+    bool lease_valid(core::Micros monotonic_now) const { return lease_.is_valid(monotonic_now); }
     /// Returns true if this incarnation may answer workers, send commands and place tasks: the replica is
     /// loaded, the leadership lease is certainly valid, and the epoch names this incarnation as a member.
     bool holds_leadership() const;
@@ -35,7 +35,7 @@
     /// requested.
     void join(std::uint64_t store_lease, core::Micros requested_at, core::Micros ttl);
     /// Records a successful renewal of the store lease that was requested at `sent_at`.
-    void renew(core::Micros sent_at, core::Micros ttl) { lease_.renewed(sent_at, ttl); }
+    void renew(core::Micros sent_at, core::Micros ttl) { lease_.record_renewal(sent_at, ttl); }
     /// Ends this incarnation after it has lost its store lease or its member key.
     void resign();
     /// Records that a peer has voted not to remove this controller for `ttl` from `requested_at`.
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -98,9 +98,9 @@
     const Micros deadline = sent_at + context_.tunables.store_lease_renewal_interval + kRenewalGrace;
     auto renewing = context_.store.renew_lease(store_lease, deadline);
     const auto outcome = co_await std::move(renewing);
-    if (outcome == StoreClient::Renewal::done) {
+    if (outcome == StoreClient::Renewal::renewed) {
         context_.leadership.renew(sent_at, context_.tunables.store_lease_ttl);
-    } else if (outcome == StoreClient::Renewal::ended) {
+    } else if (outcome == StoreClient::Renewal::expired) {
         spdlog::warn("event=store_lease_expired store_lease={}", store_lease);
         context_.leadership.resign();
     } else if (context_.leadership.lease_valid(steady_now())) {
--- a/src/cluster/peer_links.cpp
+++ b/src/cluster/peer_links.cpp
@@ -20,14 +20,14 @@
 
 bool PeerLinks::push_frame(PeerLink& link, const std::string& frame) const {
     if (!link.connected) return false;
-    if (link.out.size() > max_queued_bytes_) {
+    if (link.queued_frames.size() > max_queued_bytes_) {
         // The peer does not read. Once it has read the queued frames, it is sent the full cluster view in
         // place of the dropped ones.
-        link.missed = true;
+        link.frames_dropped = true;
         return false;
     }
-    link.out += frame;
-    link.filled.notify_all();
+    link.queued_frames += frame;
+    link.frame_queued.notify_all();
     return true;
 }
 
--- a/src/cluster/peer_links.hpp
+++ b/src/cluster/peer_links.hpp
@@ -14,19 +14,20 @@
 
 /// The queue of frames for one peer, and the state of the current connection to it.
 struct PeerLink {
-    PeerLink(io::Loop& loop, Peer configured) : peer(std::move(configured)), filled(loop) {}
+    PeerLink(io::Loop& loop, Peer configured) : peer(std::move(configured)), frame_queued(loop) {}
 
     Peer peer;
-    std::string out;    ///< encoded frames to be sent; bounded
-    io::Signal filled;  ///< notified when a frame is queued
+    std::string queued_frames;  ///< encoded frames to be sent; bounded
+    io::Signal frame_queued;    ///< notified when a frame is queued
     bool connected = false;
-    io::Micros connected_at{0};       ///< monotonic clock: start of the current connection
-    bool missed = false;              ///< a frame was dropped because the queue was full
-    io::Micros answered_until{0};     ///< wall clock: lease renewals before it are reported
-    std::uint64_t released_told = 0;  ///< position in the released machines up to which they are reported
+    io::Micros connected_at{0};             ///< monotonic clock: start of the current connection
+    bool frames_dropped = false;            ///< a frame was dropped because the queue was full
+    io::Micros renewals_reported_until{0};  ///< wall clock: lease renewals before it are reported
+    std::uint64_t reported_releases_position =
+        0;  ///< position in the released machines up to which they are reported
     /// Monotonic clock: when the peer last reported that it receives this controller's frames; initially the
     /// start of the connection.
-    io::Micros confirmed{0};
+    io::Micros last_confirmed_at{0};
 };
 
 /// Frames for a disconnected peer are dropped: each new connection begins with the whole cluster view.
--- a/src/cluster/peer_reservations.hpp
+++ b/src/cluster/peer_reservations.hpp
@@ -20,11 +20,11 @@
     void put(const core::TaskRef& task, core::Reservation reservation) {
         reservations_[task] = std::move(reservation);
     }
-    /// May contain expired reservations: see drop_settled().
+    /// May contain expired reservations: see remove_obsolete().
     const Reservations& all() const { return reservations_; }
     /// Removes reservations that have expired, and those whose task has an open attempt on the reserved
     /// machine.
-    void drop_settled(const core::JobTable& job_table, core::Micros monotonic_now) {
+    void remove_obsolete(const core::JobTable& job_table, core::Micros monotonic_now) {
         std::erase_if(reservations_, [&](const auto& entry) {
             const auto& [task, reservation] = entry;
             const core::Attempt* open = job_table.open_attempt(task.job, task.task);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -63,7 +63,7 @@
     if (value.has("class")) objective.job_class = value.at("class").text();
     if (value.has("within_s")) objective.within_s = value.at("within_s").number(0, kUnlimited);
     if (value.has("share")) objective.share = value.at("share").number(0, 1);
-    if (value.has("times")) objective.times = value.at("times").number(0, kUnlimited);
+    if (value.has("times")) objective.deadline_multiple = value.at("times").number(0, kUnlimited);
     return objective;
 }
 
--- a/src/config/tunables.cpp
+++ b/src/config/tunables.cpp
@@ -75,9 +75,9 @@
 void read_scale_out(PropertyReader& reader, Tunables& tunables) {
     reader.seconds("fleet.silent_release_seconds", 2, 3600, tunables.silent_release);
     reader.number("fleet.slack_share", 0.01, 10, tunables.fleet.slack_share);
-    reader.number("fleet.least_queue_seconds", 1, 3600, tunables.fleet.least_queue_s);
+    reader.number("fleet.least_queue_seconds", 1, 3600, tunables.fleet.min_queue_s);
     reader.number("fleet.release_ahead_seconds", 0, 3600, tunables.fleet.release_ahead_s);
-    reader.count("fleet.rent_per_round", 1, 50, tunables.fleet.most_per_round);
+    reader.count("fleet.rent_per_round", 1, 50, tunables.fleet.max_instances_per_round);
     reader.count("fleet.minimum", 0, 100000, tunables.drain.fleet_minimum);
 }
 
--- a/src/core/cluster_view.cpp
+++ b/src/core/cluster_view.cpp
@@ -141,7 +141,7 @@
     return known == machines_.end() ? nullptr : &known->second;
 }
 
-std::size_t ClusterView::longest_name() const {
+std::size_t ClusterView::max_machine_id_length() const {
     std::size_t max_length = kTypicalMachineIdLength;
     for (const auto& [id, view] : machines_) max_length = std::max(max_length, id.size());
     return max_length;
@@ -149,7 +149,7 @@
 
 AttemptView view_attempt(const ClusterView& view, const std::string& job, std::uint32_t task,
                          const Attempt& attempt) {
-    if (view.released(attempt.machine)) return {.status = AttemptStatus::gone};
+    if (view.released(attempt.machine)) return {.status = AttemptStatus::lost};
     const MachineView* machine = view.find(attempt.machine);
     if (machine == nullptr) return {};
     return view_attempt(*machine, job, task, attempt.number, attempt.incarnation);
@@ -158,7 +158,7 @@
 AttemptView view_attempt(const MachineView& machine, const std::string& job, std::uint32_t task,
                          std::uint64_t number, std::uint64_t incarnation) {
     if (machine.last_heartbeat.incarnation < incarnation) return {};
-    if (machine.last_heartbeat.incarnation > incarnation) return {.status = AttemptStatus::gone};
+    if (machine.last_heartbeat.incarnation > incarnation) return {.status = AttemptStatus::lost};
     const TaskStatus* listed = machine.task(job, task);
     if (listed == nullptr || listed->attempt != number) return {.status = AttemptStatus::unlisted};
     const bool exited = listed->state == TaskState::exited;
--- a/src/core/cluster_view.hpp
+++ b/src/core/cluster_view.hpp
@@ -81,7 +81,7 @@
     const MachineView* find(const std::string& machine) const;
     /// Returns the length of the longest machine id in bytes, for bounds on the size of records that contain
     /// ids.
-    std::size_t longest_name() const;
+    std::size_t max_machine_id_length() const;
     /// Removes a machine. Unlike after release(), its next heartbeat adds it again.
     void forget(const std::string& machine) { machines_.erase(machine); }
 
@@ -92,16 +92,16 @@
 
 /// Status of a recorded attempt according to the cluster view.
 enum class AttemptStatus : std::uint8_t {
-    unlisted,  ///< not in the worker's newest heartbeat: its start command may still be in flight
-    live,      ///< listed by the worker and not exited
-    exited,    ///< listed by the worker as exited
-    gone,      ///< the worker has a later incarnation or its machine was released: it can never run again
-    silent,    ///< the machine is unknown, or no heartbeat of the attempt's incarnation has arrived
+    unlisted,      ///< not in the worker's newest heartbeat: its start command may still be in flight
+    live,          ///< listed by the worker and not exited
+    exited,        ///< listed by the worker as exited
+    lost,          ///< the worker has a later incarnation or its machine was released: it can never run again
+    unresponsive,  ///< the machine is unknown, or no heartbeat of the attempt's incarnation has arrived
 };
 
 /// Status of an attempt. `state` and `cause` are meaningful only for `live` and `exited`.
 struct AttemptView {
-    AttemptStatus status = AttemptStatus::silent;
+    AttemptStatus status = AttemptStatus::unresponsive;
     TaskState state = TaskState::fetching;
     ExitCause cause = ExitCause::none;
 };
--- a/src/core/dependency_graph.cpp
+++ b/src/core/dependency_graph.cpp
@@ -109,9 +109,10 @@
     return DependencyPass{job_table, lookup}.run(selected);
 }
 
-Ancestry look_back(const JobTable& job_table, const std::vector<std::string>& jobs,
-                   const TerminalStateLookup& lookup) {
-    Ancestry status;
+TransitiveDependencyStatus resolve_transitive_dependencies(const JobTable& job_table,
+                                                           const std::vector<std::string>& jobs,
+                                                           const TerminalStateLookup& lookup) {
+    TransitiveDependencyStatus status;
     std::unordered_set<std::string_view> visited(jobs.begin(), jobs.end());
     std::vector<const std::string*> to_visit;
     to_visit.reserve(jobs.size());
--- a/src/core/dependency_graph.hpp
+++ b/src/core/dependency_graph.hpp
@@ -33,15 +33,16 @@
                                  const std::function<bool(const Job&)>& selected);
 
 /// Combined status of a set of jobs and their direct and transitive dependencies.
-struct Ancestry {
+struct TransitiveDependencyStatus {
     bool cancelled = false;  ///< one of the jobs is cancelled; the other fields may be incomplete
-    bool complete = true;  ///< false: the dependencies of at least one waiting job are unknown
+    bool complete = true;    ///< false: the dependencies of at least one waiting job are unknown
     /// Ended jobs whose terminal state is unknown, without duplicates.
     std::vector<std::string> unknown_terminal_states;
 };
 /// Returns the combined status of `jobs` and all their direct and transitive dependencies. Stops at the first
 /// cancelled job.
-Ancestry look_back(const JobTable& job_table, const std::vector<std::string>& jobs,
-                   const TerminalStateLookup& lookup);
+TransitiveDependencyStatus resolve_transitive_dependencies(const JobTable& job_table,
+                                                           const std::vector<std::string>& jobs,
+                                                           const TerminalStateLookup& lookup);
 
 }  // namespace hatchwind::core
--- a/src/core/epoch.cpp
+++ b/src/core/epoch.cpp
@@ -171,21 +171,21 @@
     return start + time_to_live - time_to_live / kDriftDivisor - kTimerMargin;
 }
 
-void LeadershipLease::renewed(Micros sent_at, Micros time_to_live) {
+void LeadershipLease::record_renewal(Micros sent_at, Micros time_to_live) {
     until_ = std::max(until_, safe_end(sent_at, time_to_live));
     extension_votes_.clear();
 }
 
 void LeadershipLease::record_vote(const std::string& voter, Micros requested_at, Micros time_to_live,
                                   Micros monotonic_now) {
-    if (!alive(monotonic_now)) return;
+    if (!is_valid(monotonic_now)) return;
     Micros& vote_end = extension_votes_[voter];
     vote_end = std::max(vote_end, safe_end(requested_at, time_to_live));
     // A complete set of votes extends the lease itself, so that the next set of votes extends it further.
     if (const auto unanimous_end = end_of_unanimous_vote()) until_ = std::max(until_, *unanimous_end);
 }
 
-void LeadershipLease::lost() {
+void LeadershipLease::invalidate() {
     until_ = Micros::min();
     extension_votes_.clear();
 }
--- a/src/core/epoch.hpp
+++ b/src/core/epoch.hpp
@@ -51,13 +51,13 @@
 /// and in heartbeats to its peers, so that nothing is stored that another controller would misinterpret.
 /// @{
 /// Supports jobs that wait for their dependencies, see kWaitingTeam.
-constexpr std::uint64_t kKnowsWaitingJobs = 1;
+constexpr std::uint64_t kSupportsWaitingJobs = 1;
 /// Divides the store's write rate among controllers by core/fair_share.hpp. Earlier versions divide it in
 /// proportion to demand.
-constexpr std::uint64_t kSharesWritesFairly = 2;
+constexpr std::uint64_t kSupportsFairWriteShare = 2;
 /// Supports wire::StartHoldRequest.
-constexpr std::uint64_t kHoldsStarts = 4;
-constexpr std::uint64_t kCapabilities = kKnowsWaitingJobs | kSharesWritesFairly | kHoldsStarts;
+constexpr std::uint64_t kSupportsStartHolds = 4;
+constexpr std::uint64_t kCapabilities = kSupportsWaitingJobs | kSupportsFairWriteShare | kSupportsStartHolds;
 /// @}
 
 /// The member key of a live controller in the store. It is attached to the store lease, so the store deletes
@@ -117,7 +117,7 @@
 
     /// Extends the lease after a successful renewal of the store lease. `sent_at`: when the renewal was sent,
     /// which is before the store began to count `time_to_live`.
-    void renewed(Micros sent_at, Micros time_to_live);
+    void record_renewal(Micros sent_at, Micros time_to_live);
     /// Records that `voter` promised not to remove this controller for `time_to_live` from `requested_at`.
     /// Ignored if the lease has expired, because another controller may then have removed this one before the
     /// vote was given.
@@ -125,9 +125,9 @@
                      Micros monotonic_now);
     /// Ends the leadership lease at once, because the store lease or this controller's member key no longer
     /// exists.
-    void lost();
+    void invalidate();
     /// Returns true if the controller may act now.
-    bool alive(Micros monotonic_now) const { return monotonic_now < until(); }
+    bool is_valid(Micros monotonic_now) const { return monotonic_now < until(); }
     /// Returns the end of the lease; Micros::min() if it is not held.
     Micros until() const { return until_; }
 
--- a/src/core/failure_detection.hpp
+++ b/src/core/failure_detection.hpp
@@ -13,14 +13,14 @@
 namespace hatchwind::core {
 
 /// A machine and the time since its last heartbeat.
-struct SilentMachine {
+struct UnresponsiveMachine {
     std::string id;
-    Micros silent_for{};
+    Micros unresponsive_for{};
     bool holds_tasks = false;
 };
 
 /// Returns how long no task is placed on a machine after `errors` errors on it; doubles with each error up to
-/// kMaxDoublings. The maximum is below the wait after which a job must start (kBeginWithin). Otherwise jobs
+/// kMaxDoublings. The maximum is below the wait after which a job must start (kOverdueAfter). Otherwise jobs
 /// would stay queued although a machine has free capacity.
 constexpr Micros machine_backoff(int errors) {
     constexpr Micros kInitialBackoff{2'000'000};
@@ -44,16 +44,17 @@
 /// partitioned controller, would be released a few at a time until half the fleet is released. Machines that
 /// have been unresponsive for half the limit are counted too, because machines with a common cause reach the
 /// limit shortly after one another.
-inline std::vector<std::string> releasable(const std::vector<SilentMachine>& machines, Micros limit,
+inline std::vector<std::string> releasable(const std::vector<UnresponsiveMachine>& machines, Micros limit,
                                            std::size_t released_recently) {
     constexpr std::size_t kMinUnresponsiveLimit = 2;
     constexpr std::size_t kUnresponsiveShareDivisor = 8;
     std::vector<std::string> overdue;
     std::size_t unresponsive_count = 0;
     for (const auto& machine : machines) {
-        if (machine.silent_for > limit / 2) ++unresponsive_count;
+        if (machine.unresponsive_for > limit / 2) ++unresponsive_count;
         // Idle machines only cost money, so they get more time to recover.
-        if (machine.silent_for > (machine.holds_tasks ? limit : limit * 2)) overdue.push_back(machine.id);
+        if (machine.unresponsive_for > (machine.holds_tasks ? limit : limit * 2))
+            overdue.push_back(machine.id);
     }
     const std::size_t max_unresponsive =
         std::max(kMinUnresponsiveLimit, (machines.size() + released_recently) / kUnresponsiveShareDivisor);
--- a/src/core/free_capacity.cpp
+++ b/src/core/free_capacity.cpp
@@ -12,7 +12,7 @@
     Resources used;
     for (const auto& [ref, recorded] : recorded_attempts) {
         const auto seen = view_attempt(view, ref.job, ref.task, recorded.number, recorded.incarnation);
-        const bool ended = seen.status == AttemptStatus::exited || seen.status == AttemptStatus::gone;
+        const bool ended = seen.status == AttemptStatus::exited || seen.status == AttemptStatus::lost;
         if (!ended) used += recorded.entry->job.resources;
     }
     return used;
@@ -20,7 +20,7 @@
 
 bool is_usable(const MachineView& view, const Availability& availability) {
     return view.confirmed && !view.notice_until &&
-           availability.now - view.last_heartbeat_at < availability.silent_after &&
+           availability.now - view.last_heartbeat_at < availability.unresponsive_after &&
            view.last_answered_at >= availability.answered_since;
 }
 
@@ -121,7 +121,7 @@
             machine->usable = false;
         }
     }
-    for (const auto& id : availability.candidates) {
+    for (const auto& id : availability.drain_candidates) {
         if (MachineCapacity* machine = find_mutable(id)) machine->drain_candidate = true;
     }
     for (const auto& [id, until] : availability.banned_until) {
@@ -203,7 +203,7 @@
     const auto known = by_zone.find(zone);
     const std::uint32_t here = known == by_zone.end() ? 0 : known->second;
     if (job.one_zone && total != here) return false;
-    return !job.spread || here + unknown < job.zone_cap();
+    return !job.spread || here + unknown < job.max_tasks_per_zone();
 }
 
 bool may_run_on(const Job& job, const MachineCapacity& machine) {
--- a/src/core/free_capacity.hpp
+++ b/src/core/free_capacity.hpp
@@ -42,12 +42,12 @@
 
 /// Conditions that keep machines from accepting new tasks; filled in by the caller of FreeCapacity::build.
 struct Availability {
-    Micros now{};           ///< monotonic clock
-    Micros silent_after{};  ///< a machine without a heartbeat for this long gets no new tasks
+    Micros now{};                 ///< monotonic clock
+    Micros unresponsive_after{};  ///< a machine without a heartbeat for this long gets no new tasks
     /// Wall clock: a machine with no answered heartbeat since this time gets no new tasks.
     Micros answered_since = Micros::min();
     std::set<std::string> draining;
-    std::set<std::string> candidates;  ///< chosen by the drain planner
+    std::set<std::string> drain_candidates;  ///< chosen by the drain planner
     /// Machines on which tasks failed or were refused get no new tasks before this time (monotonic clock).
     std::map<std::string, Micros> banned_until;
 };
--- a/src/core/job.hpp
+++ b/src/core/job.hpp
@@ -69,7 +69,7 @@
     /// dependency, so an empty list means that they are unknown and the job must not be released.
     bool dependencies_known() const { return !dependencies.empty(); }
     /// Returns the maximum number of tasks that may run in one zone.
-    std::uint32_t zone_cap() const { return spread ? (tasks + 1) / 2 : tasks; }
+    std::uint32_t max_tasks_per_zone() const { return spread ? (tasks + 1) / 2 : tasks; }
     /// Returns true if tasks of the job may run on machines of the given type.
     bool allows_type(const std::string& type) const {
         return !types || std::find(types->begin(), types->end(), type) != types->end();
--- a/src/core/job_table.cpp
+++ b/src/core/job_table.cpp
@@ -82,7 +82,7 @@
     JobEntry& entry = known->second;
     if (!is_new && entry.mod_revision >= mod_revision) return;
     // A page with attempts of a released job may be read before the record of the release. Its usage then has
-    // to move from kWaitingTeam to the job's team (JobTable.AReleaseThatIsReadLateMovesTheUseToTheTeam).
+    // to move from kWaitingTeam to the job's team (JobTable.LateReleaseRecordMovesUsageToTheTeam).
     if (!is_new) move_usage_to_team(entry, job.team);
     entry.job = std::move(job);
     entry.mod_revision = mod_revision;
--- a/src/core/overdue_gang_preemption.cpp
+++ b/src/core/overdue_gang_preemption.cpp
@@ -172,7 +172,7 @@
 void OverdueGangPreemption::apply(const JobEntry& gang, const Plan& plan) {
     for (const Victim& victim : plan.victims) {
         // The remaining victims are stopped in the next passes.
-        if (trial_.result().stops.size() >= trial_.input().most_stops) break;
+        if (trial_.result().stops.size() >= trial_.input().max_stops) break;
         const Job& job = victim.entry->job;
         trial_.stop(job, victim.task, victim.attempt, victim.machine, checkpoint_grace_s(job));
     }
--- a/src/core/overdue_gang_preemption.hpp
+++ b/src/core/overdue_gang_preemption.hpp
@@ -15,7 +15,7 @@
 ///
 /// An overdue gang keeps its team's other jobs from starting until it fits into the team's limit. Without
 /// preemption the gang, and with it the whole team, would wait for long tasks to end while machines are free
-/// (GangAtTheTeamsLimit.StopsLowerPriorityTasksOfItsOwnTeam).
+/// (GangAtTheTeamsLimit.PreemptsLowerPriorityTasksOfItsOwnTeam).
 class OverdueGangPreemption {
   public:
     explicit OverdueGangPreemption(PlacementTrial& trial) : trial_(trial) {}
--- a/src/core/pipeline_schedule.cpp
+++ b/src/core/pipeline_schedule.cpp
@@ -77,7 +77,7 @@
     void propagate_start(Node& node) {
         node.can_run = !node.entry->job.cancelled && !node.depends_on_cancelled;
         node.earliest_finish =
-            node.earliest_start + from_seconds(node.entry->job.estimate_s * kTrustedShareOfEstimate);
+            node.earliest_start + from_seconds(node.entry->job.estimate_s * kOptimisticEstimateFactor);
         for (const auto dependent : node.dependents) {
             Node& successor = nodes_[dependent];
             successor.depends_on_cancelled = successor.depends_on_cancelled || !node.can_run;
@@ -90,7 +90,7 @@
         if (!node.can_run) return;
         const Job& job = node.entry->job;
         InheritedDemand& demand = node.demand;
-        if (job.deadline_s) demand.due = deadline_still_met(job, objectives, node.earliest_finish);
+        if (job.deadline_s) demand.due = earliest_reachable_deadline(job, objectives, node.earliest_finish);
         for (const auto dependent : node.dependents) {
             const Node& successor = nodes_[dependent];
             if (!successor.can_run) continue;
--- a/src/core/pipeline_schedule.hpp
+++ b/src/core/pipeline_schedule.hpp
@@ -38,7 +38,7 @@
 /// A waiting job that will be released when its dependencies are done.
 struct UpcomingRelease {
     const JobEntry* entry = nullptr;  ///< valid until the job is erased from the job table
-    Micros soonest{};                 ///< wall clock: the earliest possible release time
+    Micros earliest_release{};        ///< wall clock: the earliest possible release time
 };
 
 /// Inherited demands and upcoming releases of all pipelines at one point in time.
--- a/src/core/placement.hpp
+++ b/src/core/placement.hpp
@@ -58,9 +58,9 @@
     std::set<TaskRef> stopping;                  ///< preempted tasks that have not ended yet
     Micros now{};                                ///< monotonic clock
     Micros wall_clock_now{};                     ///< wall clock
-    std::size_t most_starts = 48;
-    std::size_t most_stops = 8;
-    std::size_t most_records = 48;  ///< store records that the starts may change
+    std::size_t max_starts = 48;
+    std::size_t max_stops = 8;
+    std::size_t max_records = 48;  ///< store records that the starts may change
 };
 
 /// Decisions of a placement pass.
--- a/src/core/placement_trial.cpp
+++ b/src/core/placement_trial.cpp
@@ -31,7 +31,7 @@
 }
 
 bool PlacementTrial::full() const {
-    return result_.starts.size() >= input_.most_starts || started_chunks_.size() >= input_.most_records;
+    return result_.starts.size() >= input_.max_starts || started_chunks_.size() >= input_.max_records;
 }
 
 bool PlacementTrial::within_limit(const Job& job, std::uint32_t more_tasks) const {
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -172,7 +172,7 @@
 
 bool Preemption::preempt(const JobEntry& entry, const ZoneUse& zones, std::uint32_t task, bool with_image) {
     const Job& job = entry.job;
-    if (trial_.result().stops.size() >= trial_.input().most_stops) return false;
+    if (trial_.result().stops.size() >= trial_.input().max_stops) return false;
     if (!may_preempt_yet(job)) return false;
     const PreemptionRank rank = ranking_.rank(job, preemption_priority(job));
     // A search that found no plan also fails for the next job of the same shape and rank.
--- a/src/core/queue_order.cpp
+++ b/src/core/queue_order.cpp
@@ -36,7 +36,7 @@
 
 // Due time by the job's own deadline and objectives, without the demands of pipelines.
 Micros own_due_time(const Job& job, const std::vector<Objective>& objectives, Micros wall_clock_now) {
-    const Micros min_run_time = from_seconds(job.estimate_s * kTrustedShareOfEstimate);
+    const Micros min_run_time = from_seconds(job.estimate_s * kOptimisticEstimateFactor);
     Micros due = late_due(job, latest_objective_s(job, objectives));
     const auto consider = [&](double within_s) {
         const Micros due_at = job.accepted + from_seconds(within_s);
@@ -84,22 +84,23 @@
     return earlier_of_own_and_inherited(job, own_due_time(job, objectives, wall_clock_now), pipelines);
 }
 
-Micros deadline_still_met(const Job& job, const std::vector<Objective>& objectives,
-                          Micros earliest_completion) {
+Micros earliest_reachable_deadline(const Job& job, const std::vector<Objective>& objectives,
+                                   Micros earliest_completion) {
     Micros due = late_due(job, *job.deadline_s);
-    const auto consider = [&](double times) {
-        const Micros due_at = job.accepted + from_seconds(*job.deadline_s * times);
+    const auto consider = [&](double deadline_multiple) {
+        const Micros due_at = job.accepted + from_seconds(*job.deadline_s * deadline_multiple);
         if (due_at >= earliest_completion) due = std::min(due, due_at);
     };
     consider(1);
     for (const auto& objective : objectives) {
-        if (objective.kind == "deadline" && objective.job_class == job.job_class) consider(objective.times);
+        if (objective.kind == "deadline" && objective.job_class == job.job_class)
+            consider(objective.deadline_multiple);
     }
     return due;
 }
 
 bool unfinished_when_overdue(const JobEntry& entry, Micros wall_clock_now) {
-    return entry.done == 0 && wall_clock_now - entry.job.accepted >= kBeginWithin;
+    return entry.done == 0 && wall_clock_now - entry.job.accepted >= kOverdueAfter;
 }
 
 bool is_overdue(const JobEntry& entry, Micros wall_clock_now) {
--- a/src/core/scale_out_planner.cpp
+++ b/src/core/scale_out_planner.cpp
@@ -139,7 +139,7 @@
 
     std::uint32_t place_on_requested(const JobEntry& entry, ZoneUse& zones, std::uint32_t wanted) {
         std::uint32_t placed = 0;
-        while (placed < wanted && within_limit(entry.job) && requested_ < settings_.most_per_round) {
+        while (placed < wanted && within_limit(entry.job) && requested_ < settings_.max_instances_per_round) {
             const auto pool = cheapest_pool(entry.job, zones, (wanted - placed) * entry.job.resources.cpus);
             if (!pool) break;
             const std::uint32_t more = fill(entry, zones, request_instance(*pool), wanted - placed);
@@ -209,7 +209,7 @@
     double slot_share(const Job& job, double run_s) const {
         const Micros due = due_time(job, *input_.objectives, input_.wall_clock_now, input_.pipelines);
         const double slack_s = to_seconds(due - input_.wall_clock_now) - run_s;
-        return std::min(1.0, run_s / std::max(slack_s * settings_.slack_share, settings_.least_queue_s));
+        return std::min(1.0, run_s / std::max(slack_s * settings_.slack_share, settings_.min_queue_s));
     }
 
     // Adds to the free capacity the fraction of the target time that remains for the queue after running
@@ -257,8 +257,8 @@
         const Micros until = input_.wall_clock_now + from_seconds(settings_.release_ahead_s);
         for (const auto& release : input_.pipelines->upcoming()) {
             const Job& job = release.entry->job;
-            if (release.soonest > until || !input_.teams->contains(job.team_once_released)) continue;
-            const JobEntry released = as_released(job, release.soonest);
+            if (release.earliest_release > until || !input_.teams->contains(job.team_once_released)) continue;
+            const JobEntry released = as_released(job, release.earliest_release);
             if (job.kind == JobKind::array) {
                 place_array(released);
             } else {
--- a/src/core/scale_out_planner.hpp
+++ b/src/core/scale_out_planner.hpp
@@ -28,8 +28,8 @@
 struct ScaleOutSettings {
     /// An array's queue should start within this fraction of the time until its due time.
     double slack_share = 0.8;
-    double least_queue_s = 15;  ///< seconds; lower bound of the time in which an array's queue should start
-    std::size_t most_per_round = 20;  ///< maximum number of instances requested in one round
+    double min_queue_s = 15;  ///< seconds; lower bound of the time in which an array's queue should start
+    std::size_t max_instances_per_round = 20;  ///< maximum number of instances requested in one round
     /// Seconds: instances are also requested for waiting jobs that may be released within this time. 0: only
     /// for released jobs.
     double release_ahead_s = 0;
--- a/src/core/task_placement.cpp
+++ b/src/core/task_placement.cpp
@@ -20,7 +20,7 @@
     JobSearch search{
         entry, extent, zone_use_of(entry), max_wait_s(entry.job), search_.ranked(entry.job),
     };
-    for (const std::uint32_t task : unstarted_tasks(entry, trial_.input().most_starts)) {
+    for (const std::uint32_t task : unstarted_tasks(entry, trial_.input().max_starts)) {
         if (trial_.full() || !trial_.within_limit(entry.job)) return;
         // Started already as the first task of an overdue job.
         if (trial_.started({entry.job.id, task})) continue;
--- a/src/core/team.hpp
+++ b/src/core/team.hpp
@@ -20,9 +20,9 @@
 struct Objective {
     std::string kind;
     std::string job_class;
-    double within_s = 0;  ///< seconds from acceptance; 0: no time limit
-    double share = 0;     ///< fraction of jobs that must meet the objective, 0 to 1
-    double times = 1;     ///< multiple of the job's deadline; only for kind "deadline"
+    double within_s = 0;           ///< seconds from acceptance; 0: no time limit
+    double share = 0;              ///< fraction of jobs that must meet the objective, 0 to 1
+    double deadline_multiple = 1;  ///< multiple of the job's deadline; only for kind "deadline"
 };
 
 }  // namespace hatchwind::core
--- a/src/mesh/peer_heartbeats.cpp
+++ b/src/mesh/peer_heartbeats.cpp
@@ -61,16 +61,17 @@
                  [&](const wire::CancellationNotice& notice) { return notice.revision > peer_revision; });
     heartbeat.answered.clear();
     for (const auto& [machine, renewed_at] : context_.leases.own_renewals()) {
-        if (renewed_at >= link.answered_until) heartbeat.answered.emplace_back(machine, renewed_at.count());
+        if (renewed_at >= link.renewals_reported_until)
+            heartbeat.answered.emplace_back(machine, renewed_at.count());
     }
     const auto& released = context_.workers.cluster_view().released_machines();
-    auto news = released.since(link.released_told, kReleasedPerHeartbeat);
+    auto news = released.since(link.reported_releases_position, kReleasedPerHeartbeat);
     heartbeat.released = std::move(news.machines);
     // One that the link has no room for is lost, and the next one tells what it would have told: a peer takes
     // a heartbeat's table for all that was answered until then, and counts leases by it.
     if (!context_.links.push(link, heartbeat)) return;
-    link.answered_until = Micros{heartbeat.wall_us};
-    link.released_told = news.position;
+    link.renewals_reported_until = Micros{heartbeat.wall_us};
+    link.reported_releases_position = news.position;
 }
 
 Task<void> PeerHeartbeats::run() {
--- a/src/mesh/peer_mesh.cpp
+++ b/src/mesh/peer_mesh.cpp
@@ -42,13 +42,13 @@
 
 void PeerMesh::queue_cluster_view(PeerLink& link) const {
     // What is known of images goes along, and the next heartbeat has the whole tables.
-    link.missed = false;
-    link.answered_until = Micros{0};
-    link.released_told = 0;
+    link.frames_dropped = false;
+    link.renewals_reported_until = Micros{0};
+    link.reported_releases_position = 0;
     for (const auto& [machine, view] : workers_.cluster_view().machines()) {
         wire::WorkerStatusUpdate update = status_update(view, view.last_answered_at);
         for (const auto& [name, image] : view.images) update.images.emplace_back(name, image.gb);
-        link.out += wire::encode_frame(update);
+        link.queued_frames += wire::encode_frame(update);
     }
 }
 
@@ -60,31 +60,31 @@
             co_await loop_.sleep(kConnectRetry);
             continue;
         }
-        link.out = wire::encode_frame(wire::PeerHandshake{wire::kPeerProtocolVersion, label_});
+        link.queued_frames = wire::encode_frame(wire::PeerHandshake{wire::kPeerProtocolVersion, label_});
         link.connected = true;
         link.connected_at = steady_now();
-        link.confirmed = link.connected_at;
+        link.last_confirmed_at = link.connected_at;
         queue_cluster_view(link);
         auto writing = write_frames(link, *socket);
         co_await std::move(writing);
         link.connected = false;
-        link.out.clear();
+        link.queued_frames.clear();
         co_await loop_.sleep(kReconnectDelay);
     }
 }
 
 Task<void> PeerMesh::write_frames(PeerLink& link, io::Socket& socket) {
     while (true) {
-        if (link.out.empty() && link.missed) queue_cluster_view(link);
-        if (link.out.empty()) co_await link.filled.wait();
-        const std::string batch = std::exchange(link.out, {});
+        if (link.queued_frames.empty() && link.frames_dropped) queue_cluster_view(link);
+        if (link.queued_frames.empty()) co_await link.frame_queued.wait();
+        const std::string batch = std::exchange(link.queued_frames, {});
         const Micros deadline = steady_now() + kWriteTimeout;
         const auto written = co_await socket.write(batch, deadline);
         if (!written || socket.is_stale()) co_return;
         // After a cut, or behind a peer that was killed in one, writes vanish into a connection that never
         // fails. Only the peer's word that it hears us shows that it does: without tables from every member
         // no lease ever counts as expired, and what was lost stays lost.
-        if (steady_now() - link.confirmed > kUnconfirmed) {
+        if (steady_now() - link.last_confirmed_at > kUnconfirmed) {
             spdlog::info("event=peer_unconfirmed peer={}", link.peer.label);
             co_return;
         }
--- a/src/mesh/peer_message_handler.cpp
+++ b/src/mesh/peer_message_handler.cpp
@@ -24,7 +24,7 @@
     }
     const bool heard_by_peer = std::find(heartbeat.hears.begin(), heartbeat.hears.end(),
                                          context_.leadership.label()) != heartbeat.hears.end();
-    if (heard_by_peer) context_.links.at(from).confirmed = steady_now();
+    if (heard_by_peer) context_.links.at(from).last_confirmed_at = steady_now();
     // What does not answer somebody else may not answer anyone: this controller asks for itself.
     for (const auto& machine : heartbeat.unanswered) {
         if (context_.workers.cluster_view().find(machine) != nullptr) context_.probes.request(machine);
--- a/src/mesh/write_share.cpp
+++ b/src/mesh/write_share.cpp
@@ -23,7 +23,7 @@
     return std::all_of(members.begin(), members.end(), [&](const core::Member& member) {
         if (member.label == leadership_.label()) return true;
         const wire::PeerHeartbeat* heartbeat = peers_.heartbeat_of(member);
-        return heartbeat != nullptr && (heartbeat->capabilities & core::kSharesWritesFairly) != 0;
+        return heartbeat != nullptr && (heartbeat->capabilities & core::kSupportsFairWriteShare) != 0;
     });
 }
 
@@ -43,14 +43,14 @@
     if (everyone_shares_fairly()) {
         for (double& demand : wanted) demand = demand * kDemandHeadroom + kIdleWrites;
         const double capacity = store_.write_capacity();
-        store_.share(controllers, core::max_min_share(wanted, 0, capacity) / capacity);
+        store_.set_budgets(controllers, core::max_min_share(wanted, 0, capacity) / capacity);
         return;
     }
     // As the earlier version does, so that the shares of all add up to the limit.
     for (double& demand : wanted) demand += kLeastDemand;
     const double sum = std::accumulate(wanted.begin(), wanted.end(), 0.0);
     const double even = kEvenShare / static_cast<double>(controllers);
-    store_.share(controllers, even + (1 - kEvenShare) * wanted.front() / sum);
+    store_.set_budgets(controllers, even + (1 - kEvenShare) * wanted.front() / sum);
 }
 
 }  // namespace hatchwind::controller
--- a/src/scaling/eviction_controller.cpp
+++ b/src/scaling/eviction_controller.cpp
@@ -71,7 +71,7 @@
     const auto busy_share = static_cast<std::size_t>(fleet_size * context_.tunables.drain_busy_share);
     // So many cordons surely fit into one value of the store.
     const std::size_t most_cordons =
-        context_.settings.value_bytes() / (cluster_view.longest_name() + kCordonOverheadBytes);
+        context_.settings.value_bytes() / (cluster_view.max_machine_id_length() + kCordonOverheadBytes);
     core::DrainSettings settings = context_.tunables.drain;
     settings.total_cap = std::min(most_cordons, std::max(settings.total_cap, total_share));
     settings.busy_cap = std::max(settings.busy_cap, busy_share);
--- a/src/scaling/scale_in.cpp
+++ b/src/scaling/scale_in.cpp
@@ -67,7 +67,7 @@
 }
 
 void ScaleIn::add_unresponsive(std::vector<std::string>& due, Micros monotonic_now, const LeaderTerm& term) {
-    std::vector<core::SilentMachine> machines;
+    std::vector<core::UnresponsiveMachine> machines;
     for (const auto& [machine, view] : context_.workers.cluster_view().machines()) {
         // No longer than this leader's term: before, it may only not have received their heartbeats.
         const Micros unresponsive =
--- a/src/scaling/scale_out.cpp
+++ b/src/scaling/scale_out.cpp
@@ -39,7 +39,7 @@
     const auto fleet_size = static_cast<double>(context_.workers.cluster_view().machines().size());
     const auto share = static_cast<std::size_t>(fleet_size * context_.tunables.rent_share);
     core::ScaleOutSettings settings = context_.tunables.fleet;
-    settings.most_per_round = std::max(settings.most_per_round, share);
+    settings.max_instances_per_round = std::max(settings.max_instances_per_round, share);
     return settings;
 }
 
--- a/src/scheduling/attempt_page_writer.cpp
+++ b/src/scheduling/attempt_page_writer.cpp
@@ -130,7 +130,7 @@
         add_chunk(unit, key, record, pass.monotonic_now);
         content[key] = &record.chunk;
     }
-    unit.estimated_bytes = estimate_bytes(content, workers_.cluster_view().longest_name());
+    unit.estimated_bytes = estimate_bytes(content, workers_.cluster_view().max_machine_id_length());
     add_page(pass, unit, page, content);
     return unit;
 }
--- a/src/scheduling/attempt_reconciler.cpp
+++ b/src/scheduling/attempt_reconciler.cpp
@@ -177,7 +177,7 @@
         state.view == nullptr
             ? core::view_attempt(workers_.cluster_view(), open.job(), open.task, attempt)
             : core::view_attempt(*state.view, open.job(), open.task, attempt.number, attempt.incarnation);
-    const bool ended = view.status == AttemptStatus::exited || view.status == AttemptStatus::gone;
+    const bool ended = view.status == AttemptStatus::exited || view.status == AttemptStatus::lost;
     if (state.unresponsive && !ended &&
         leases_.is_expired(attempt.machine, attempt.incarnation, io::wall_now())) {
         spdlog::info("event=lease_expired job={} task={} machine={}", open.job(), open.task, attempt.machine);
@@ -188,10 +188,10 @@
         case AttemptStatus::exited:
             reconcile_exited(staged, open, view.cause);
             return Revisit::next_pass;
-        case AttemptStatus::gone:
+        case AttemptStatus::lost:
             staged.close(open, TaskOutcome::unfinished);
             return Revisit::next_pass;
-        case AttemptStatus::silent:
+        case AttemptStatus::unresponsive:
             return Revisit::next_pass;
         case AttemptStatus::unlisted:
             reconcile_unlisted(staged, open, state);
--- a/src/scheduling/cancellation_enforcer.cpp
+++ b/src/scheduling/cancellation_enforcer.cpp
@@ -42,7 +42,7 @@
         for (const auto& [number, chunk] : entry.chunks) {
             for (const auto& [task, attempt] : chunk.open) {
                 const auto view = core::view_attempt(workers_.cluster_view(), id, task, attempt);
-                if (view.status == AttemptStatus::exited || view.status == AttemptStatus::gone) continue;
+                if (view.status == AttemptStatus::exited || view.status == AttemptStatus::lost) continue;
                 tasks.push_back({{id, task}, attempt, view.status, cancelled_for, shard_owner});
             }
         }
--- a/src/scheduling/cancellation_enforcer.hpp
+++ b/src/scheduling/cancellation_enforcer.hpp
@@ -47,7 +47,7 @@
     struct OpenTask {
         core::TaskRef task;
         core::Attempt attempt;
-        core::AttemptStatus status = core::AttemptStatus::silent;
+        core::AttemptStatus status = core::AttemptStatus::unresponsive;
         io::Micros cancelled_for{0};
         ShardOwner shard_owner = ShardOwner::other;
     };
--- a/src/scheduling/dependency_reconciler.cpp
+++ b/src/scheduling/dependency_reconciler.cpp
@@ -144,7 +144,7 @@
 core::DependencyPlan DependencyReconciler::plan_resolutions() {
     const Micros started_at = steady_now();
     auto plan = core::plan_dependencies(
-        replicated_.job_table(), [this](const std::string& job) { return final_states_.ending(job); },
+        replicated_.job_table(), [this](const std::string& job) { return final_states_.terminal_state(job); },
         [this](const core::Job& job) { return acts_for(job); });
     last_planning_duration_ = steady_now() - started_at;
     if (!plan.release.empty() || !plan.cancel.empty())
@@ -154,7 +154,7 @@
 }
 
 std::size_t DependencyReconciler::affordable_cancel_groups() {
-    const double unused_writes = std::max(0.0, store_.spare_writes());
+    const double unused_writes = std::max(0.0, store_.available_writes());
     const auto affordable = static_cast<std::size_t>(unused_writes) / settings_.txn_ops;
     return std::clamp(affordable, kMinCancelGroups, kMaxCancelGroups);
 }
--- a/src/scheduling/page_assignment.cpp
+++ b/src/scheduling/page_assignment.cpp
@@ -43,7 +43,7 @@
     PageAssignment(const PageAssignmentInput& input, const std::set<std::string>& ending_jobs)
         : job_table_(input.job_table),
           capacity_bytes_(page_capacity_bytes(input.settings)),
-          longest_machine_name_(input.cluster_view.longest_name()) {
+          longest_machine_name_(input.cluster_view.max_machine_id_length()) {
         for (const auto& [key, page] : job_table_.pages()) {
             if (input.leadership.owns_shard(key.team))
                 reserved_bytes_[key] = bytes_to_reserve(page, ending_jobs);
--- a/src/scheduling/placement_round.cpp
+++ b/src/scheduling/placement_round.cpp
@@ -19,12 +19,12 @@
 
 core::PlacementInput PlacementRound::gather_input(std::size_t max_records) const {
     core::PlacementInput input;
-    input.most_records = max_records;
+    input.max_records = max_records;
     // A pass starts as many tasks as one transaction can record. More starts would delay subsequent writes.
-    input.most_starts =
-        std::max<std::size_t>(input.most_starts, context_.settings.txn_ops * kStartsPerOperation);
+    input.max_starts =
+        std::max<std::size_t>(input.max_starts, context_.settings.txn_ops * kStartsPerOperation);
     const std::size_t machines = context_.workers.cluster_view().machines().size();
-    input.most_stops = std::max<std::size_t>(input.most_stops, machines / kMachinesPerStop);
+    input.max_stops = std::max<std::size_t>(input.max_stops, machines / kMachinesPerStop);
     input.job_table = &context_.replicated.job_table();
     input.cluster_view = &context_.workers.cluster_view();
     input.teams = &context_.settings.teams;
@@ -61,7 +61,7 @@
     // Capacity that another shard owner frees by preemption. Without these reservations, the shard owner of
     // the preempted task would place the task there again as soon as it has exited, and it would be preempted
     // again, in an endless cycle.
-    context_.peer_reservations.drop_settled(context_.replicated.job_table(), input.now);
+    context_.peer_reservations.remove_obsolete(context_.replicated.job_table(), input.now);
     for (const auto& [task, reservation] : context_.peer_reservations.all())
         input.peer_reservations.push_back(reservation);
 }
--- a/src/scheduling/shard_scheduler.cpp
+++ b/src/scheduling/shard_scheduler.cpp
@@ -114,7 +114,7 @@
 }
 
 ShardScheduler::WriteBudget ShardScheduler::write_budget() {
-    const double unused = std::max(0.0, context_.store.spare_writes());
+    const double unused = std::max(0.0, context_.store.available_writes());
     return {unused, std::max(kMinWrites, unused + context_.store.write_rate() * kBudgetSpanSeconds)};
 }
 
@@ -147,7 +147,7 @@
 
 Task<void> ShardScheduler::erase_unused_pages() {
     if (steady_now() - last_erasure_ < kEraseInterval || !context_.leadership.holds_leadership()) co_return;
-    if (context_.store.spare_writes() < kMinUnusedWritesToErase) co_return;
+    if (context_.store.available_writes() < kMinUnusedWritesToErase) co_return;
     last_erasure_ = steady_now();
     auto erasure = commit_.erase_unused_pages();
     co_await std::move(erasure);
--- a/src/store/final_state_reader.cpp
+++ b/src/store/final_state_reader.cpp
@@ -46,7 +46,7 @@
     bool all_answered = true;
 };
 
-std::optional<core::TerminalState> FinalStateReader::ending(const std::string& job) const {
+std::optional<core::TerminalState> FinalStateReader::terminal_state(const std::string& job) const {
     const FinalState* state = known(job);
     if (state == nullptr) return std::nullopt;
     return state->status == wire::JobStatus::done ? core::TerminalState::done
--- a/src/store/final_state_reader.hpp
+++ b/src/store/final_state_reader.hpp
@@ -41,7 +41,7 @@
     /// ended.
     const FinalState* known(const std::string& job) const { return cache_.find(job); }
     /// Returns the terminal state of a job whose final state is cached; nothing otherwise.
-    std::optional<core::TerminalState> ending(const std::string& job) const;
+    std::optional<core::TerminalState> terminal_state(const std::string& job) const;
     /// Caches a final state that this controller has committed.
     void record(const std::string& job, FinalState state) { cache_.insert(job, state); }
     /// Returns the final state from the cache or, if it is not cached, from the store.
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -111,7 +111,7 @@
     const auto reported_cancellations = replicated_.cancellations_after(snapshot->revision);
     // The pages may have been read before this controller's own latest commits. Without these, an attempt
     // whose end has been committed would count as open again and be started a second time
-    // (ReplicaReload.AnAttemptThatEndsDuringItIsNotStartedAgain).
+    // (ReplicaReload.AnAttemptThatEndsDuringTheReloadIsNotStartedAgain).
     std::move(committed_while_loading_.begin(), committed_while_loading_.end(),
               std::back_inserter(snapshot->items));
     committed_while_loading_.clear();
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -49,10 +49,10 @@
       writes_(1, 1),
       user_writes_(1, 1) {
     const std::size_t controllers = settings.peers.size() + 1;
-    share(controllers, 1.0 / static_cast<double>(controllers));
+    set_budgets(controllers, 1.0 / static_cast<double>(controllers));
 }
 
-void StoreClient::share(std::size_t controllers, double write_share) {
+void StoreClient::set_budgets(std::size_t controllers, double write_share) {
     const double controller_count = static_cast<double>(std::max<std::size_t>(controllers, 1));
     requests_.set(settings_.state_rps * kRequestLimitFraction / controller_count,
                   std::max(kMinRequestBurst, settings_.state_rps * kRequestBurstSeconds / controller_count));
@@ -78,7 +78,7 @@
     demand_ = std::min(demand_ + writes, settings_.state_write_rps * kDemandSpanSeconds);
 }
 
-double StoreClient::spare_writes() { return writes_.available(steady_now()); }
+double StoreClient::available_writes() { return writes_.available(steady_now()); }
 
 bool StoreClient::reachable(Micros monotonic_now) const {
     return failing_since_.count() == 0 || monotonic_now - failing_since_ < kUnreachableAfter;
@@ -223,8 +223,8 @@
     call.urgent = true;
     auto sending = send(std::move(call));
     const io::HttpResult reply = co_await std::move(sending);
-    if (reply.has_status(http_status::kOk)) co_return Renewal::done;
-    co_return reply.has_status(http_status::kNotFound) ? Renewal::ended : Renewal::failed;
+    if (reply.has_status(http_status::kOk)) co_return Renewal::renewed;
+    co_return reply.has_status(http_status::kNotFound) ? Renewal::expired : Renewal::failed;
 }
 
 Task<WatchResult> StoreClient::watch(std::string prefix, core::Revision after, Micros block) {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -63,7 +63,7 @@
 class StoreClient {
   public:
     /// The outcome of renewing a store lease. `failed`: no answer, so the lease may or may not be renewed.
-    enum class Renewal : std::uint8_t { done, ended, failed };
+    enum class Renewal : std::uint8_t { renewed, expired, failed };
 
     StoreClient(io::Loop& loop, const Settings& settings);
 
@@ -84,13 +84,13 @@
 
     /// Sets this controller's budgets from the limits, which hold for all controllers together.
     /// `write_share`: this controller's share of the write limit, 0 to 1.
-    void share(std::size_t controllers, double write_share);
+    void set_budgets(std::size_t controllers, double write_share);
     /// Sets the number of writes that are deferred because the budget does not allow them yet.
     void set_backlog(double writes) { backlog_ = writes; }
     /// Returns the demand in writes a second: recent writes plus the backlog.
     double demand() const { return demand_ / kDemandSpanSeconds + backlog_; }
     /// Returns the number of writes that the budget allows immediately; negative while it is overdrawn.
-    double spare_writes();
+    double available_writes();
     /// Returns this controller's write budget, in writes a second.
     double write_rate() const { return writes_.rate(); }
     /// Returns the writes a second that all controllers together may make, excluding the part reserved for
--- a/src/wire/peer_protocol.hpp
+++ b/src/wire/peer_protocol.hpp
@@ -116,7 +116,7 @@
 };
 
 /// Asks a shard owner to fence the starts of a job whose cancellation is about to be committed. Only for
-/// peers that announce core::kHoldsStarts.
+/// peers that announce core::kSupportsStartHolds.
 struct StartHoldRequest {
     std::uint64_t number = 0;  ///< returned with the acknowledgement
     std::string job;
--- a/src/workers/start_fence.cpp
+++ b/src/workers/start_fence.cpp
@@ -23,7 +23,7 @@
     const PeerStatus* peer = context_.peers.find(label);
     if (peer == nullptr || !context_.peers.is_fresh(label, steady_now())) return false;
     const PeerLink& link = context_.links.at(label);
-    const bool knows_request = (peer->heartbeat.capabilities & core::kHoldsStarts) != 0;
+    const bool knows_request = (peer->heartbeat.capabilities & core::kSupportsStartHolds) != 0;
     return link.connected && peer->received_at >= link.connected_at && knows_request;
 }
 
--- a/src/workers/worker_leases.cpp
+++ b/src/workers/worker_leases.cpp
@@ -18,10 +18,10 @@
 void WorkerLeases::renew(const std::string& machine, Micros wall_clock_now, Micros monotonic_now) {
     own_renewals_[machine] = wall_clock_now;
     assigned_workers_[machine] = monotonic_now;
-    record_peer_renewal(machine, wall_clock_now);
+    record_renewal(machine, wall_clock_now);
 }
 
-void WorkerLeases::record_peer_renewal(const std::string& machine, Micros renewed_at) {
+void WorkerLeases::record_renewal(const std::string& machine, Micros renewed_at) {
     Micros& known = known_renewals_[machine];
     known = std::max(known, renewed_at);
 }
--- a/src/workers/worker_leases.hpp
+++ b/src/workers/worker_leases.hpp
@@ -30,7 +30,7 @@
     /// Records that this controller answers a heartbeat of the worker now, and so renews its lease.
     void renew(const std::string& machine, core::Micros wall_clock_now, core::Micros monotonic_now);
     /// Records that a controller renewed the lease at `renewed_at` (wall clock). The latest renewal counts.
-    void record_peer_renewal(const std::string& machine, core::Micros renewed_at);
+    void record_renewal(const std::string& machine, core::Micros renewed_at);
     /// The renewals by this controller since it started, which it reports to its peers.
     const Renewals& own_renewals() const { return own_renewals_; }
 
--- a/src/workers/worker_status.cpp
+++ b/src/workers/worker_status.cpp
@@ -148,13 +148,13 @@
 
 void WorkerStatus::apply_peer_renewal(const std::string& machine, Micros renewed_at) {
     if (cluster_view_.released(machine)) return;
-    context_.leases.record_peer_renewal(machine, renewed_at);
+    context_.leases.record_renewal(machine, renewed_at);
     cluster_view_.record_answer(machine, renewed_at);
 }
 
 void WorkerStatus::record_answer_by_peer(const std::string& machine, Micros answered_at) {
     if (answered_at.count() == 0) return;
-    context_.leases.record_peer_renewal(machine, answered_at);
+    context_.leases.record_renewal(machine, answered_at);
     context_.leases.unassign(machine);
 }
 
@@ -197,13 +197,13 @@
     constexpr Micros kUnansweredFor{2'000'000};
     core::Availability availability;
     availability.now = io::steady_now();
-    availability.silent_after =
+    availability.unresponsive_after =
         core::from_seconds(context_.settings.report_s * kUnresponsiveIntervals + kUnresponsiveGraceSeconds);
     // A worker whose heartbeats reach no controller can't renew its lease: its tasks would end with each of
     // its incarnations.
-    availability.answered_since = io::wall_now() - availability.silent_after;
+    availability.answered_since = io::wall_now() - availability.unresponsive_after;
     availability.draining = context_.replicated.draining();
-    availability.candidates = drain_candidates_;
+    availability.drain_candidates = drain_candidates_;
     // A machine that sends heartbeats but doesn't answer requests gets no new tasks. Its lease expires by its
     // own clock.
     for (const auto& [machine, state] : context_.probes.states()) {
--- a/tests/check_test_names_test.sh
+++ b/tests/check_test_names_test.sh
@@ -25,7 +25,7 @@
 
 fresh_copy
 "$check" "$scratch"
-accepted 'Names of any kind: `JobTable.*`, `FairShare.NobodyGetsLessThanItsDemandOrAnEqualPart`, Boost.Intrusive.'
+accepted 'Names of any kind: `JobTable.*`, `FairShare.EveryShareIsAtLeastTheDemandOrAnEqualShare`, Boost.Intrusive.'
 accepted 'Other macros: `PageSplit.KeepsEveryChunkOnceWithinTheLimit`, `Layers.EachPlantedIncludeIsFound`.'
 accepted '**Cause.** Bold text that ends in a full stop, before state.next and docs/README.Md.'
 planted design.md 'See `JobTable.NoSuchTest`.' 'there is no test JobTable.NoSuchTest'
--- a/tests/combined_faults_test.cpp
+++ b/tests/combined_faults_test.cpp
@@ -3,15 +3,15 @@
 #include <algorithm>
 
 #include "core/failure_detection.hpp"
-#include "site.hpp"
 #include "support.hpp"
+#include "test_deployment.hpp"
 
 namespace hatchwind {
 namespace {
 
 using io::Micros;
 using io::Task;
-using test::Site;
+using test::TestDeployment;
 using wire::Json;
 
 // Records one attempt of the job in the job table, and lists it as running in the machine's heartbeat.
@@ -98,7 +98,7 @@
 // The rest of a team's limit is reserved for its overdue job, so that later jobs do not delay it forever. If
 // the team's services alone prevent the job from starting, the reservation must not block the other jobs,
 // because they would never start.
-TEST(Placement, AJobThatItsTeamsServicesKeepOutBlocksNoOtherJob) {
+TEST(Placement, AnOverdueJobBlockedByItsTeamsServicesBlocksNoOtherJob) {
     test::Cluster cluster;
     cluster.teams["x"] = {"x", 8, 8, 0, 0};
     auto machine = test::heartbeat("n-1", "big", "a");
@@ -106,7 +106,7 @@
     service.kind = core::JobKind::service;
     run_on(cluster, machine, service, 1);
     cluster.cluster_view.apply(machine, cluster.now, cluster.now);
-    cluster.now += core::kBeginWithin * 2;
+    cluster.now += core::kOverdueAfter * 2;
     ++machine.heartbeat_sequence;
     cluster.cluster_view.apply(machine, cluster.now, cluster.now);
     cluster.job_table.put_job(test::job("req-2", "x", 1, 4), 2);
@@ -127,36 +127,37 @@
 }
 
 // Sets the lease duration and restarts the controllers.
-void set_lease(Site& site, double seconds) {
-    site.world.lease_s = seconds;
+void set_lease(TestDeployment& site, double seconds) {
+    site.workload.lease_s = seconds;
     for (std::size_t i = 0; i < site.labels().size(); ++i) {
         site.kill(i);
         site.start(i);
     }
 }
 
-Task<void> submit(Site& site, std::string id, std::string team, std::string form, int tasks, double cores) {
-    auto task = site.insist("POST", "/api/jobs", submission(id, team, form, tasks, cores), {200, 201});
+Task<void> submit(TestDeployment& site, std::string id, std::string team, std::string form, int tasks,
+                  double cores) {
+    auto task = site.retry_until("POST", "/api/jobs", submission(id, team, form, tasks, cores), {200, 201});
     co_await std::move(task);
 }
 
-Task<void> cancel(Site& site, std::string id) {
-    auto task = site.insist("POST", "/api/jobs/" + id + "/cancel", nullptr, {200});
+Task<void> cancel(TestDeployment& site, std::string id) {
+    auto task = site.retry_until("POST", "/api/jobs/" + id + "/cancel", nullptr, {200});
     co_await std::move(task);
 }
 
-Task<void> until(Site& site, std::function<bool()> reached) {
+Task<void> until(TestDeployment& site, std::function<bool()> reached) {
     auto waiting = site.until(std::move(reached));
     co_await std::move(waiting);
 }
 
-bool any_worker_lists(Site& site, const std::string& name) {
+bool any_worker_lists(TestDeployment& site, const std::string& name) {
     return std::any_of(site.cloud.workers.begin(), site.cloud.workers.end(), [&](const auto& worker) {
-        return worker.second->last_report.dump().find("\"" + name + "\"") != std::string::npos;
+        return worker.second->last_heartbeat.dump().find("\"" + name + "\"") != std::string::npos;
     });
 }
 
-std::string leader_other_than(Site& site, const std::string& old_leader) {
+std::string leader_other_than(TestDeployment& site, const std::string& old_leader) {
     const std::string now = site.leader();
     return now == old_leader ? "" : now;
 }
@@ -164,22 +165,22 @@
 // While the replica is reloaded, the shard owner records the end of an attempt and acknowledges its exit. The
 // pages that arrive afterwards still show the attempt as open, and its worker no longer lists it. It must not
 // be taken for an attempt whose start command was lost, and started again.
-TEST(ReplicaReload, AnAttemptThatEndsDuringItIsNotStartedAgain) {
-    Site test_site{1};
-    test_site.world.run_time = Micros{500'000};
-    test_site.play([](Site& site) -> Task<void> {
+TEST(ReplicaReload, AnAttemptThatEndsDuringTheReloadIsNotStartedAgain) {
+    TestDeployment test_site{1};
+    test_site.workload.run_time = Micros{500'000};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         {
             auto step = submit(site, "req-1", "x", "sweep", 1, 1);
             co_await std::move(step);
         }
         {
-            auto step = until(site, [&site] { return site.world.running.size() == 1; });
+            auto step = until(site, [&site] { return site.workload.running.size() == 1; });
             co_await std::move(step);
         }
         // The store no longer keeps the changes that the watch needs, which forces a reload. The pages arrive
         // so late that they predate the end of the attempt.
         site.state.list_latency = Micros{1'700'000};
-        site.state.oldest = site.state.revision + 1;
+        site.state.compacted_revision = site.state.revision + 1;
         {
             auto step = site.submit("req-2", "z", "sweep", 1);  // a change, so that the watch is reopened
             co_await std::move(step);
@@ -195,28 +196,28 @@
         co_await site.loop.sleep(Micros{2'000'000});
         site.state.hold_watches = false;
         co_await site.loop.sleep(Micros{700'000});
-        EXPECT_EQ(site.world.started["req-1/0"], 1);
-        EXPECT_EQ(site.world.completed["req-1/0"], 1);
+        EXPECT_EQ(site.workload.started["req-1/0"], 1);
+        EXPECT_EQ(site.workload.completed["req-1/0"], 1);
     });
 }
 
 // A start command is delayed and unanswered, and the job is cancelled in the meantime. The job's end may be
 // recorded only when no copy of the command can still take effect.
 TEST(DelayedCommands, AStartThatArrivesAfterTheCancellationRunsNothing) {
-    Site test_site{1};
-    test_site.world.endless = {"req-2"};
-    test_site.play([](Site& site) -> Task<void> {
+    TestDeployment test_site{1};
+    test_site.workload.endless_jobs = {"req-2"};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         {
             auto step = site.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
-        for (auto& [id, worker] : site.cloud.workers) worker->hold_orders = true;
+        for (auto& [id, worker] : site.cloud.workers) worker->hold_commands = true;
         {
             auto step = site.submit("req-2", "x", "sweep", 1);
             co_await std::move(step);
         }
         {
-            auto step = until(site, [&site] { return site.held_orders() > 0; });
+            auto step = until(site, [&site] { return site.held_command_requests() > 0; });
             co_await std::move(step);
         }
         {
@@ -226,15 +227,15 @@
         co_await site.loop.sleep(Micros{1'500'000});
         EXPECT_FALSE(site.state.items.contains("f/req-2"))
             << "the job has ended although its start may still arrive";
-        for (auto& [id, worker] : site.cloud.workers) worker->hold_orders = false;
+        for (auto& [id, worker] : site.cloud.workers) worker->hold_commands = false;
         {
             auto step = until(site, [&site] { return site.state.items.contains("f/req-2"); });
             co_await std::move(step);
         }
         co_await site.loop.sleep(Micros{1'500'000});
-        site.deliver_held_orders();
+        site.deliver_held_commands();
         co_await site.loop.sleep(Micros{100'000});
-        EXPECT_TRUE(site.world.running.empty())
+        EXPECT_TRUE(site.workload.running.empty())
             << "a start that arrived after the end of a cancelled job was executed";
     });
 }
@@ -243,24 +244,24 @@
 // sent no start command, but that of the previous one may still take effect, since the worker has not
 // received the new fencing token.
 TEST(DelayedCommands, AStartOfThePreviousLeaderKeepsACancelledJobOpenUntilItIsStopped) {
-    Site test_site{2};
-    test_site.world.endless = {"req-2"};
+    TestDeployment test_site{2};
+    test_site.workload.endless_jobs = {"req-2"};
     set_lease(test_site, 8);
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         {
             auto step = site.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
-        for (auto& [id, worker] : site.cloud.workers) worker->hold_orders = true;
+        for (auto& [id, worker] : site.cloud.workers) worker->hold_commands = true;
         {
             auto step = site.submit("req-2", "x", "sweep", 1);
             co_await std::move(step);
         }
         {
-            auto step = until(site, [&site] { return site.held_orders() > 0; });
+            auto step = until(site, [&site] { return site.held_command_requests() > 0; });
             co_await std::move(step);
         }
-        for (auto& [id, worker] : site.cloud.workers) worker->deaf = true;
+        for (auto& [id, worker] : site.cloud.workers) worker->unreachable = true;
         const std::string old_leader = site.leader();
         site.kill(0);
         site.kill(1);
@@ -281,13 +282,14 @@
         EXPECT_FALSE(site.state.items.contains("f/req-2"));
         bool ran = false;
         for (auto& [id, worker] : site.cloud.workers) {
-            for (const auto& copy : worker->recorded_attempts) ran = worker->late_orders(copy) || ran;
+            for (const auto& copy : worker->held_requests) ran = worker->deliver_late_commands(copy) || ran;
         }
         EXPECT_TRUE(ran) << "the worker has received the new fencing token, so this test proves nothing";
-        for (auto& [id, worker] : site.cloud.workers) worker->deaf = worker->hold_orders = false;
+        for (auto& [id, worker] : site.cloud.workers) worker->unreachable = worker->hold_commands = false;
         {
-            auto step = until(
-                site, [&site] { return site.world.running.empty() && site.state.items.contains("f/req-2"); });
+            auto step = until(site, [&site] {
+                return site.workload.running.empty() && site.state.items.contains("f/req-2");
+            });
             co_await std::move(step);
         }
     });
@@ -322,27 +324,27 @@
 // The heartbeats of a machine arrive, but no answers or commands reach it, and the leader crashes. The
 // machine's lease expires on its own side. Its tasks must be placed elsewhere after that, and not earlier.
 TEST(OneWayPartition, TasksMoveOnceTheLeaseHasExpiredAcrossAFailover) {
-    Site test_site{2};
-    test_site.world.endless = {"req-1"};
+    TestDeployment test_site{2};
+    test_site.workload.endless_jobs = {"req-1"};
     set_lease(test_site, 4);
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         {
             auto step = submit(site, "req-1", "x", "service", 2, 3);
             co_await std::move(step);
         }
         {
-            auto step = until(site, [&site] { return site.world.running.size() == 2; });
+            auto step = until(site, [&site] { return site.workload.running.size() == 2; });
             co_await std::move(step);
         }
         const Micros began = io::steady_now();
-        const std::string partitioned = site.world.running["req-1/0"];
-        site.cloud.workers.at(partitioned)->deaf = true;
+        const std::string partitioned = site.workload.running["req-1/0"];
+        site.cloud.workers.at(partitioned)->unreachable = true;
         const std::string old_leader = site.leader();
         site.kill(site.index(old_leader));
         {
             auto step = until(site, [&site, partitioned] {
-                const auto at = site.world.running.find("req-1/0");
-                return at != site.world.running.end() && at->second != partitioned;
+                const auto at = site.workload.running.find("req-1/0");
+                return at != site.workload.running.end() && at->second != partitioned;
             });
             co_await std::move(step);
         }
@@ -360,24 +362,24 @@
 
 // All controllers are down for longer than a lease. After their restart, each of them repeatedly receives
 // stale heartbeats of ended incarnations before any others.
-TEST(StaleHeartbeats, OfEndedIncarnationsAtRestartedControllersStartNoTaskTwice) {
-    Site test_site{3};
-    test_site.world.endless = {"req-1", "req-2"};
+TEST(StaleHeartbeats, FromEndedIncarnationsToRestartedControllersStartNoTaskTwice) {
+    TestDeployment test_site{3};
+    test_site.workload.endless_jobs = {"req-1", "req-2"};
     set_lease(test_site, 2);
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         for (const char* id : {"req-1", "req-2"}) {
             auto step = submit(site, id, id == std::string("req-1") ? "x" : "y", "service", 2, 2);
             co_await std::move(step);
         }
         {
-            auto step = until(site, [&site] { return site.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.workload.running.size() == 4; });
             co_await std::move(step);
         }
         std::vector<Json> copies;
-        for (const auto& [id, worker] : site.cloud.workers) copies.push_back(worker->last_report);
+        for (const auto& [id, worker] : site.cloud.workers) copies.push_back(worker->last_heartbeat);
         for (const std::size_t i : {0U, 1U, 2U}) site.kill(i);
         {
-            auto step = until(site, [&site] { return site.world.running.empty(); });
+            auto step = until(site, [&site] { return site.workload.running.empty(); });
             co_await std::move(step);
         }
         for (const std::size_t i : {0U, 1U, 2U}) site.start(i);
@@ -391,34 +393,34 @@
             co_await site.loop.sleep(Micros{40'000});
         }
         {
-            auto step = until(site, [&site] { return site.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.workload.running.size() == 4; });
             co_await std::move(step);
         }
-        for (const auto& [task, count] : site.world.started) EXPECT_EQ(count, 2) << task;
+        for (const auto& [task, count] : site.workload.started) EXPECT_EQ(count, 2) << task;
     });
 }
 
 // One task of a job ends just before the leader crashes. The machine of the other task hangs meanwhile, but
 // not beyond its lease, and that task ends much later.
-TEST(LeaderFailover, TasksThatEndBeforeAndAfterItAreCountedOnce) {
-    Site test_site{2};
-    test_site.world.run_time = Micros{0};
-    test_site.world.endless = {"req-1"};
+TEST(LeaderFailover, TasksThatEndBeforeAndAfterTheFailoverAreCountedOnce) {
+    TestDeployment test_site{2};
+    test_site.workload.run_time = Micros{0};
+    test_site.workload.endless_jobs = {"req-1"};
     set_lease(test_site, 6);
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         {
             auto step = submit(site, "req-1", "x", "sweep", 2, 3);
             co_await std::move(step);
         }
         {
-            auto step = until(site, [&site] { return site.world.running.size() == 2; });
+            auto step = until(site, [&site] { return site.workload.running.size() == 2; });
             co_await std::move(step);
         }
-        auto& hung_worker = *site.cloud.workers.at(site.world.running["req-1/1"]);
-        hung_worker.hung = true;
-        site.world.endless.clear();
+        auto& hung_worker = *site.cloud.workers.at(site.workload.running["req-1/1"]);
+        hung_worker.suspended = true;
+        site.workload.endless_jobs.clear();
         {
-            auto step = until(site, [&site] { return site.world.completed["req-1/0"] == 1; });
+            auto step = until(site, [&site] { return site.workload.completed["req-1/0"] == 1; });
             co_await std::move(step);
         }
         co_await site.loop.sleep(Micros{120'000});
@@ -430,37 +432,37 @@
             co_await std::move(step);
         }
         for (int i = 0; i < 10; ++i) {
-            auto poll = site.insist("GET", "/api/jobs/req-1", nullptr, {200});
+            auto poll = site.retry_until("GET", "/api/jobs/req-1", nullptr, {200});
             const Json status = co_await std::move(poll);
             EXPECT_NE(status["status"], "done");
             EXPECT_LE(status["done"].get<int>(), 1);
             co_await site.loop.sleep(Micros{100'000});
         }
-        hung_worker.hung = false;
+        hung_worker.suspended = false;
         {
             auto step = site.until_status("req-1", "done");
             co_await std::move(step);
         }
-        for (const auto& [task, count] : site.world.started) EXPECT_EQ(count, 1) << task;
+        for (const auto& [task, count] : site.workload.started) EXPECT_EQ(count, 1) << task;
     });
 }
 
 // A team is at its limit, one of its machines hangs, its job is cancelled, and the leader crashes. The tasks
 // count against the limit until they are known to have ended.
 TEST(Quota, ACancelledTaskOnAnUnreachableMachineCountsUntilItHasExited) {
-    Site test_site{2};
-    test_site.world.endless = {"req-1", "req-2"};
+    TestDeployment test_site{2};
+    test_site.workload.endless_jobs = {"req-1", "req-2"};
     set_lease(test_site, 6);
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         {
             auto step = submit(site, "req-1", "x", "service", 4, 4);  // all of the 16 CPUs
             co_await std::move(step);
         }
         {
-            auto step = until(site, [&site] { return site.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.workload.running.size() == 4; });
             co_await std::move(step);
         }
-        site.cloud.workers.at(site.world.running["req-1/2"])->hung = true;
+        site.cloud.workers.at(site.workload.running["req-1/2"])->suspended = true;
         const std::string old_leader = site.leader();
         {
             auto step = cancel(site, "req-1");
@@ -474,8 +476,8 @@
         std::size_t max_running = 0;
         {
             auto step = until(site, [&site, &max_running] {
-                max_running = std::max(max_running, site.world.running.size());
-                return !site.world.running.contains("req-1/2") && site.world.running.size() == 4;
+                max_running = std::max(max_running, site.workload.running.size());
+                return !site.workload.running.contains("req-1/2") && site.workload.running.size() == 4;
             });
             co_await std::move(step);
         }
@@ -487,10 +489,10 @@
 // that it had recorded run once, and instances that it had requested are neither lost nor requested a second
 // time for the same tasks.
 TEST(LeaderFailover, ASlowStoreDuringScaleOutStartsNoTaskTwice) {
-    Site test_site{2};
-    test_site.world.endless = {"req-1", "req-2"};
-    test_site.state.answer_after = [](const Json&) { return Micros{400'000}; };
-    test_site.play([](Site& site) -> Task<void> {
+    TestDeployment test_site{2};
+    test_site.workload.endless_jobs = {"req-1", "req-2"};
+    test_site.state.response_delay = [](const Json&) { return Micros{400'000}; };
+    test_site.play([](TestDeployment& site) -> Task<void> {
         for (const char* id : {"req-1", "req-2"}) {
             auto step = submit(site, id, id == std::string("req-1") ? "x" : "y", "service", 2, 3);
             co_await std::move(step);
@@ -502,12 +504,12 @@
         const std::string old_leader = site.leader();
         site.kill(site.index(old_leader));
         {
-            auto step = until(site, [&site] { return site.world.running.size() == 4; });
+            auto step = until(site, [&site] { return site.workload.running.size() == 4; });
             co_await std::move(step);
         }
         co_await site.loop.sleep(Micros{1'000'000});
-        EXPECT_EQ(site.world.running.size(), 4U);
-        for (const auto& [task, count] : site.world.started) EXPECT_EQ(count, 1) << task;
+        EXPECT_EQ(site.workload.running.size(), 4U);
+        for (const auto& [task, count] : site.workload.started) EXPECT_EQ(count, 1) << task;
         EXPECT_LE(site.cloud.workers.size(), 6U) << "scaled out again for tasks that already had machines";
     });
 }
@@ -515,14 +517,14 @@
 // Machines of an array that is bound to one zone become unreachable, and then the leader that knew the tasks'
 // machines crashes. The unreachable tasks still bind the array to their zone.
 TEST(LeaderFailover, AOneZoneArrayThatLosesAMachineStaysInItsZone) {
-    Site test_site{2};
-    test_site.world.endless = {"req-1"};
+    TestDeployment test_site{2};
+    test_site.workload.endless_jobs = {"req-1"};
     set_lease(test_site, 4);
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         Json job = submission("req-1", "x", "sweep", 3, 3);
         job["oneZone"] = true;
         {
-            auto step = site.insist("POST", "/api/jobs", job, {200, 201});
+            auto step = site.retry_until("POST", "/api/jobs", job, {200, 201});
             co_await std::move(step);
         }
         std::map<std::string, std::string> zone_of;
@@ -530,27 +532,27 @@
         const auto record_zones = [&site, &zone_of, &zones_at_once] {
             for (const auto& [id, worker] : site.cloud.workers) zone_of[id] = worker->zone();
             std::set<std::string> zones;
-            for (const auto& [task, machine] : site.world.running) zones.insert(zone_of[machine]);
+            for (const auto& [task, machine] : site.workload.running) zones.insert(zone_of[machine]);
             zones_at_once = std::max(zones_at_once, zones.size());
         };
         {
             auto step = until(site, [&] {
                 record_zones();
-                return site.world.running.size() == 3;
+                return site.workload.running.size() == 3;
             });
             co_await std::move(step);
         }
         // Neither answers nor commands reach two of its machines.
         for (const char* task : {"req-1/0", "req-1/1"})
-            site.cloud.workers.at(site.world.running[task])->deaf = true;
+            site.cloud.workers.at(site.workload.running[task])->unreachable = true;
         const std::string old_leader = site.leader();
         site.kill(site.index(old_leader));
         site.start(site.index(old_leader));
         {
             auto step = until(site, [&] {
                 record_zones();
-                const auto at = site.world.started.find("req-1/0");
-                return at != site.world.started.end() && at->second > 1;
+                const auto at = site.workload.started.find("req-1/0");
+                return at != site.workload.started.end() && at->second > 1;
             });
             co_await std::move(step);
         }
@@ -559,10 +561,10 @@
 }
 
 // The backoff of a failing machine or job grows, but stays below the maximum queue time of 90 s.
-TEST(FailureBackoff, IsShorterThanAJobMayWait) {
+TEST(FailureBackoff, IsShorterThanTheMaximumQueueTime) {
     for (int errors = 1; errors < 100; ++errors) {
-        EXPECT_LT(core::machine_backoff(errors), core::kBeginWithin) << errors;
-        EXPECT_LT(core::job_backoff(errors), core::kBeginWithin) << errors;
+        EXPECT_LT(core::machine_backoff(errors), core::kOverdueAfter) << errors;
+        EXPECT_LT(core::job_backoff(errors), core::kOverdueAfter) << errors;
         EXPECT_GE(core::machine_backoff(errors + 1), core::machine_backoff(errors));
         EXPECT_GE(core::job_backoff(errors + 1), core::job_backoff(errors));
     }
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using core::TerminalState;
-using test::holds;
+using test::check_property;
 
 enum class JobState : std::uint8_t {
     running,
@@ -149,8 +149,8 @@
     return plan;
 }
 
-TEST(DependencyGraph, AgreesWithAPlainModel) {
-    holds("random graphs, endings and cancels", [] {
+TEST(DependencyGraph, AgreesWithBruteForceModel) {
+    check_property("random graphs, endings and cancels", [] {
         const Graph graph = draw_graph();
         const core::JobTable job_table = graph.job_table();
         const auto terminal_state = [&](const std::string& job) { return graph.terminal_state(job); };
@@ -163,7 +163,8 @@
         RC_ASSERT(as_set(plan.unknown_terminal_states) == expected.unknown_terminal_states);
         for (std::size_t job = 0; job < graph.states.size(); ++job) {
             if (!is_waiting(graph, job)) continue;
-            const auto status = core::look_back(job_table, {Graph::id(job)}, terminal_state);
+            const auto status =
+                core::resolve_transitive_dependencies(job_table, {Graph::id(job)}, terminal_state);
             RC_ASSERT(status.cancelled == cancelled.contains(job));
         }
     });
@@ -245,8 +246,8 @@
 };
 
 // Guards against jobs that are released early, or neither released nor cancelled.
-TEST(DependencyGraph, EveryJobIsReleasedOnceAllItNeedsIsDoneOrIsCancelled) {
-    holds("from the first job to the last", [] {
+TEST(DependencyGraph, EveryJobIsReleasedOnceItsDependenciesAreDoneOrIsCancelled) {
+    check_property("from the first job to the last", [] {
         DependentJobs jobs;
         while (!jobs.all_ended()) {
             jobs.apply_plan();
@@ -257,7 +258,7 @@
 }
 
 // Guards against recursion, which would overflow the stack on a chain of this length.
-TEST(DependencyGraph, ChainsAndFansOfAnyLengthAreCancelledInOneStep) {
+TEST(DependencyGraph, LongChainIsCancelledInOnePass) {
     constexpr std::size_t kJobs = 100'000;
     core::JobTable job_table;
     core::Job root = test::job("req-0", "x", 1, 1);
@@ -272,7 +273,7 @@
     const core::TerminalStateLookup none = [](const std::string& /*job*/) { return std::nullopt; };
     const auto plan = core::plan_dependencies(job_table, none, [](const core::Job& /*job*/) { return true; });
     EXPECT_EQ(plan.cancel.size(), kJobs);
-    EXPECT_TRUE(core::look_back(job_table, {Graph::id(kJobs)}, none).cancelled);
+    EXPECT_TRUE(core::resolve_transitive_dependencies(job_table, {Graph::id(kJobs)}, none).cancelled);
 }
 
 }  // namespace
--- a/tests/emulator_models_test.cpp
+++ b/tests/emulator_models_test.cpp
@@ -12,7 +12,7 @@
 #include "emulator/report.hpp"
 #include "emulator/scenario.hpp"
 #include "emulator/worker.hpp"
-#include "stand_ins.hpp"
+#include "fake_services.hpp"
 
 namespace hatchwind::emulator {
 namespace {
@@ -331,7 +331,7 @@
         answer = [this](const Json&) { return test::reply(200, {{"baton", 5}, {"calls", Json::array()}}); };
         MachineIdentity machine;
         machine.id = "n-1";
-        machine.address = test::text_of(worker_address);
+        machine.address = test::address_text(worker_address);
         machine.type = {"small", {8, 0, 32}, 20, 1, 1, 0.5, 1, {"a"}};
         machine.zone = "a";
         worker = std::make_unique<Worker>(loop, world, machine, worker_address);
@@ -380,8 +380,8 @@
     Recorder recorder{[] { return io::steady_now(); }};
     JobBoard board{recorder};
     GangHall gangs{board, {at(2), at(1)}, 1};
-    io::Address node = test::local(test::free_port());
-    io::Address worker_address = test::local(test::free_port());
+    io::Address node = test::loopback_address(test::free_port());
+    io::Address worker_address = test::loopback_address(test::free_port());
     std::vector<Json> reports;
     std::function<io::HttpResponse(const Json&)> answer;
     std::vector<int> command_statuses;
@@ -738,7 +738,7 @@
     io::Scope scope;
     io::HttpClient client{loop};
     Recorder recorder{[] { return io::steady_now(); }};
-    io::Address address = test::local(test::free_port());
+    io::Address address = test::loopback_address(test::free_port());
     std::vector<std::string> up, removed, noticed;
     std::vector<int> statuses;
     std::vector<Json> answers;
@@ -837,7 +837,7 @@
     std::size_t requests = 0;
     std::set<std::string> submitted;
     std::map<std::string, int> questions;
-    io::Address node = test::local(test::free_port());
+    io::Address node = test::loopback_address(test::free_port());
     io::HttpServer server{
         loop, node, {}, [this](io::HttpRequest request) { return handle(std::move(request)); }};
     std::unique_ptr<Users> users;
--- a/tests/epoch_test.cpp
+++ b/tests/epoch_test.cpp
@@ -11,7 +11,7 @@
 using core::EpochInput;
 using core::LeadershipLease;
 using core::Micros;
-using test::holds;
+using test::check_property;
 
 constexpr Micros kStoreLeaseTtl{2'000'000};
 constexpr Micros kVoteTtl{1'000'000};
@@ -23,8 +23,8 @@
     return result;
 }
 
-TEST(ShardAssignment, GivesEveryTeamALiveShardOwnerAndMovesFew) {
-    holds("assignment", [] {
+TEST(ShardAssignment, AssignsEveryTeamAndIsBalancedAndStable) {
+    check_property("assignment", [] {
         const auto assigned_teams = teams(*rc::gen::inRange(1, 9));
         std::map<std::string, std::string> before;
         for (int round = 0; round < 4; ++round) {
@@ -51,10 +51,10 @@
     });
 }
 
-TEST(LeadershipLease, EndsBeforeTheStoreLeaseCouldAndNeedsEveryVote) {
+TEST(LeadershipLease, ExpiresBeforeTheStoreLeaseAndIsExtendedOnlyByAllVotes) {
     LeadershipLease lease({"b", "c"});
-    EXPECT_FALSE(lease.alive(Micros{0}));
-    lease.renewed(Micros{10'000'000}, kStoreLeaseTtl);
+    EXPECT_FALSE(lease.is_valid(Micros{0}));
+    lease.record_renewal(Micros{10'000'000}, kStoreLeaseTtl);
     EXPECT_LT(lease.until(), Micros{12'000'000});
     const Micros end = lease.until();
     lease.record_vote("b", Micros{11'500'000}, kVoteTtl, Micros{11'600'000});
@@ -222,7 +222,8 @@
             store_leases_[controller.self.store_lease] = now_ + kStoreLeaseTtl;
         }
         if (!keep_leases(i, store_reachable)) return;
-        if (!store_reachable || controller.self.store_lease == 0 || !controller.leadership_lease->alive(now_))
+        if (!store_reachable || controller.self.store_lease == 0 ||
+            !controller.leadership_lease->is_valid(now_))
             return;
         write_epoch(controller);
     }
@@ -231,7 +232,7 @@
         Controller& controller = controllers_[i];
         if (store_reachable && controller.self.store_lease == 0) return join(controller);
         if (store_reachable) return renew(controller);
-        if (controller.leadership_lease->alive(now_)) request_votes(i);
+        if (controller.leadership_lease->is_valid(now_)) request_votes(i);
         return true;
     }
     bool join(Controller& controller) {
@@ -244,7 +245,7 @@
         if (outcome == 0) return false;  // no response: joins again with a new store lease
         if (apply(write)) {
             controller.self.store_lease = store_lease;
-            controller.leadership_lease->renewed(now_, kStoreLeaseTtl);
+            controller.leadership_lease->record_renewal(now_, kStoreLeaseTtl);
         }
         return true;
     }
@@ -252,11 +253,11 @@
         const auto lease = store_leases_.find(controller.self.store_lease);
         if (lease == store_leases_.end()) {
             controller.self.store_lease = 0;
-            controller.leadership_lease->lost();
+            controller.leadership_lease->invalidate();
             return false;
         }
         lease->second = now_ + kStoreLeaseTtl;
-        controller.leadership_lease->renewed(now_, kStoreLeaseTtl);
+        controller.leadership_lease->record_renewal(now_, kStoreLeaseTtl);
         return true;
     }
     void request_votes(int i) {
@@ -299,7 +300,7 @@
         last_fencing_token_ = epoch_.number;
         if (epoch_.number == 0) return;
         for (const auto& controller : controllers_) {
-            if (controller.self.store_lease == 0 || !controller.leadership_lease->alive(now_)) continue;
+            if (controller.self.store_lease == 0 || !controller.leadership_lease->is_valid(now_)) continue;
             // A controller with a valid leadership lease has a member key; otherwise the others could remove
             // it.
             const auto key = member_records_.find(controller.self.label);
@@ -332,8 +333,8 @@
     std::set<std::pair<std::string, std::uint64_t>> members_so_far_;
 };
 
-TEST(Membership, NoRemovedIncarnationKeepsItsLeadershipLeaseWhateverFails) {
-    holds("crashes, instant restarts, cuts, refusals, outages, late writes", [] {
+TEST(Membership, NoRemovedMemberHoldsALeadershipLeaseUnderFaults) {
+    check_property("crashes, instant restarts, cuts, refusals, outages, late writes", [] {
         MembershipSimulation simulation;
         simulation.run(150);
     });
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -18,8 +18,8 @@
     return shares;
 }
 
-TEST(FairShare, NobodyGetsLessThanItsDemandOrAnEqualPart) {
-    test::holds("max-min fairness", [] {
+TEST(FairShare, EveryShareIsAtLeastTheDemandOrAnEqualShare) {
+    test::check_property("max-min fairness", [] {
         constexpr double kTolerance = 1e-9;
         const auto tenths =
             *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 500)));
--- a/tests/stand_ins.hpp
+++ b/tests/fake_services.hpp
@@ -23,17 +23,17 @@
 /// Returns an address of this process: each test process uses its own loopback IP address and allocates ports
 /// by counting. An ephemeral port picked by the kernel could be taken before the test listens on it, by
 /// another test or by an outgoing connection; these get their ports on 127.0.0.1.
-inline io::Address local(std::uint16_t port) {
+inline io::Address loopback_address(std::uint16_t port) {
     const auto pid = static_cast<std::uint32_t>(::getpid());
     return {0x7f000000U | (0x010000U + pid % 0xfe0000U), port};
 }
-/// Returns a port of local() that has not been used in this process.
+/// Returns a port of loopback_address() that has not been used in this process.
 inline std::uint16_t free_port() {
     static std::uint16_t last_port = 10'000;
     return ++last_port;
 }
 /// Returns the address in the form used in messages, "a.b.c.d:port".
-inline std::string text_of(io::Address address) {
+inline std::string address_text(io::Address address) {
     std::string text;
     for (int shift = 24; shift >= 0; shift -= 8)
         text += std::to_string(address.ip >> shift & 0xffU) + (shift > 0 ? "." : ":");
@@ -64,7 +64,10 @@
 class Relay {
   public:
     Relay(io::Loop& loop, io::Address destination)
-        : address(local(free_port())), loop_(loop), destination_(destination), listener_(loop, address) {
+        : address(loopback_address(free_port())),
+          loop_(loop),
+          destination_(destination),
+          listener_(loop, address) {
         scope_.spawn(serve());
     }
     const io::Address address;
@@ -107,10 +110,10 @@
 };
 
 /// Fake state service: keys with revisions, transactions, leases, watches and injected faults.
-class StateStandIn {
+class FakeStore {
   public:
-    explicit StateStandIn(io::Loop& loop)
-        : address(local(free_port())),
+    explicit FakeStore(io::Loop& loop)
+        : address(loopback_address(free_port())),
           loop_(loop),
           changed_(loop),
           server_(loop, address, {}, [this](io::HttpRequest request) { return handle(std::move(request)); }) {
@@ -119,7 +122,7 @@
     }
     const io::Address address;
     bool down = false;
-    bool drop_next_commit_answer = false;  // executes the next commit, but answers 500
+    bool drop_next_commit_response = false;  // executes the next commit, but answers 500
     // clang-tidy 14 assumes that the noexcept move of Json may throw.
     // NOLINTNEXTLINE(bugprone-exception-escape)
     struct Item {
@@ -129,34 +132,35 @@
     };
     std::map<std::string, Item> items;
     std::uint64_t revision = 0;
-    std::size_t most_writes = 0;  // maximum number of writes in one transaction so far
-    std::uint64_t oldest = 0;     // watches from earlier revisions get 410
+    std::size_t max_transaction_writes = 0;  // maximum number of writes in one transaction so far
+    std::uint64_t compacted_revision = 0;    // watches from earlier revisions get 410
     std::size_t page_size = 1000;
     std::function<void(const Json&)> on_commit;  // called with each transaction before it is executed
-    std::function<io::Micros(const Json&)> answer_after;  // delay of a transaction's response
-    std::function<bool(const Json&)> hidden;              // selects changes that watches do not deliver
-    enum class Treatment : std::uint8_t {
-        carry_out,
-        refuse,       // not executed, answers 503
-        lose_answer,  // executed, but answers 500
-        hold,         // not executed, answers 500, and kept in `recorded_attempts`
+    std::function<io::Micros(const Json&)> response_delay;  // delay of a transaction's response
+    std::function<bool(const Json&)> hidden_from_watches;   // selects changes that watches do not deliver
+    enum class CommitHandling : std::uint8_t {
+        apply,
+        refuse,         // not executed, answers 503
+        lose_response,  // executed, but answers 500
+        hold,           // not executed, answers 500, and kept in `held_requests`
     };
-    std::function<Treatment(const Json&)> treat;  // selects how a transaction is handled
-    std::vector<Json> recorded_attempts;          // can be executed later with late_commit()
-    io::Micros read_latency{0};                   // of reads of a single key
-    io::Micros watch_latency{0};                  // from collecting the changes until the response
-    io::Micros list_latency{0};                   // from reading a page of keys until the response
-    bool hold_watches = false;                    // watches stay open without a response
-    std::size_t lists = 0;                        // number of requests for a page of keys
-    std::size_t writes = 0;                       // number of executed puts and deletes
+    std::function<CommitHandling(const Json&)> commit_handling;  // selects how a transaction is handled
+    std::vector<Json> held_requests;  // can be executed later with deliver_late_commit()
+    io::Micros read_latency{0};       // of reads of a single key
+    io::Micros watch_latency{0};      // from collecting the changes until the response
+    io::Micros list_latency{0};       // from reading a page of keys until the response
+    bool hold_watches = false;        // watches stay open without a response
+    std::size_t list_requests = 0;    // number of requests for a page of keys
+    std::size_t writes = 0;           // number of executed puts and deletes
     // Limits of a transaction; larger ones get 400. Unlimited by default.
     std::size_t value_bytes_limit = SIZE_MAX;
     std::size_t transaction_limit = SIZE_MAX;
-    std::vector<std::string> oversized;  // descriptions of the transactions refused for their size
+    std::vector<std::string>
+        oversized_transactions;  // descriptions of the transactions refused for their size
     std::size_t conflicts = 0;
 
     /// Executes a late or duplicated transaction; returns the status of its response.
-    int late_commit(const Json& transaction) { return commit(transaction).status; }
+    int deliver_late_commit(const Json& transaction) { return commit(transaction).status; }
 
   private:
     struct StoreLease {
@@ -201,7 +205,7 @@
         if (down) co_return reply(503, {{"error", "trouble"}});
         if (request.target.starts_with("/store?")) {
             auto response = page_of(request.target);
-            ++lists;
+            ++list_requests;
             if (list_latency.count() > 0) co_await loop_.sleep(list_latency);
             co_return response;
         }
@@ -224,7 +228,7 @@
         const auto prefix = query(target, "starts");
         const auto end = io::steady_now() + io::Micros{std::stoll(query(target, "blockMs")) * 1000};
         while (true) {
-            if (after < oldest) co_return reply(410);
+            if (after < compacted_revision) co_return reply(410);
             const Json changes = changes_after(after, prefix);
             if (!down && !hold_watches && (!changes.empty() || io::steady_now() >= end)) {
                 auto response = reply(200, {{"ledger", revision}, {"log", changes}});
@@ -238,7 +242,7 @@
         Json changes = Json::array();
         for (const auto& change : log_) {
             const std::string key = change.contains("write") ? change["write"] : change["delete"];
-            if (hidden && hidden(change)) continue;
+            if (hidden_from_watches && hidden_from_watches(change)) continue;
             if (change["stamp"].get<std::uint64_t>() > after && key.starts_with(prefix))
                 changes.push_back(change);
         }
@@ -263,15 +267,16 @@
         return reply(200, {{"path", key}, {"v", item->second.value}, {"stamp", item->second.mod_revision}});
     }
     io::Task<io::HttpResponse> handle_transaction(Json transaction) {
-        const Treatment handling = treat ? treat(transaction) : Treatment::carry_out;
-        if (handling == Treatment::refuse) co_return reply(503, {{"error", "trouble"}});
-        if (handling == Treatment::hold) {
-            recorded_attempts.push_back(transaction);
+        const CommitHandling handling =
+            commit_handling ? commit_handling(transaction) : CommitHandling::apply;
+        if (handling == CommitHandling::refuse) co_return reply(503, {{"error", "trouble"}});
+        if (handling == CommitHandling::hold) {
+            held_requests.push_back(transaction);
             co_return reply(500);
         }
         auto response = commit(transaction);
-        if (handling == Treatment::lose_answer) response = reply(500);
-        const io::Micros delay = answer_after ? answer_after(transaction) : io::Micros{0};
+        if (handling == CommitHandling::lose_response) response = reply(500);
+        const io::Micros delay = response_delay ? response_delay(transaction) : io::Micros{0};
         if (delay.count() > 0) co_await loop_.sleep(delay);
         co_return response;
     }
@@ -304,11 +309,11 @@
     io::HttpResponse commit(const Json& transaction) {
         if (on_commit) on_commit(transaction);
         if (const std::string reason = limit_violation(transaction); !reason.empty()) {
-            oversized.push_back(reason);
+            oversized_transactions.push_back(reason);
             return reply(400, {{"error", reason}});
         }
         const Json failed = failed_conditions(transaction["when"]);
-        most_writes = std::max(most_writes, transaction["writes"].size());
+        max_transaction_writes = std::max(max_transaction_writes, transaction["writes"].size());
         for (const auto& write : transaction["writes"]) {
             if (write.contains("tenure") && !store_leases_.contains(write["tenure"].get<std::uint64_t>()))
                 return reply(400, {{"error", "no such lease"}});
@@ -318,7 +323,7 @@
             return reply(409, {{"failed", failed}, {"ledger", revision}});
         }
         apply_writes(transaction["writes"]);
-        if (std::exchange(drop_next_commit_answer, false)) return reply(500);
+        if (std::exchange(drop_next_commit_response, false)) return reply(500);
         return reply(200, {{"ledger", revision}});
     }
     Json failed_conditions(const Json& conditions) const {
@@ -355,29 +360,29 @@
 
 /// Fake worker. Runs its tasks for a configured time, and reports tasks that run on two workers at once or
 /// start before their dependencies have completed.
-class WorkerStandIn {
+class FakeWorker {
   public:
     /// State shared by all fake workers.
-    struct World {
+    struct Workload {
         std::map<std::string, std::string> running;  // task -> machine
         std::map<std::string, int> started;          // number of starts by task
         std::map<std::string, int> completed;        // number of completions by task
-        std::vector<std::string> broken_rules;       // descriptions of starts that must not happen
+        std::vector<std::string> violations;         // descriptions of starts that must not happen
         io::Micros run_time{300'000};
-        std::set<std::string> endless;  // jobs whose tasks never complete
+        std::set<std::string> endless_jobs;  // jobs whose tasks never complete
         // By job: tasks that must have completed before any task of the job starts.
-        std::map<std::string, std::vector<std::string>> needs;
+        std::map<std::string, std::vector<std::string>> required_tasks;
         double lease_s = 3;
     };
-    WorkerStandIn(io::Loop& loop, World& world, std::string id, std::string zone,
-                  std::vector<io::Address> nodes, std::vector<std::string> labels)
+    FakeWorker(io::Loop& loop, Workload& world, std::string id, std::string zone,
+               std::vector<io::Address> nodes, std::vector<std::string> labels)
         : loop_(loop),
           world_(world),
           id_(std::move(id)),
           zone_(std::move(zone)),
           nodes_(std::move(nodes)),
           labels_(std::move(labels)),
-          address_(local(free_port())),
+          address_(loopback_address(free_port())),
           client_(loop),
           lease_start_(io::steady_now()),
           server_(loop, address_, {},
@@ -386,7 +391,7 @@
         scope_.spawn(send_heartbeats());
         scope_.spawn(complete_tasks());
     }
-    ~WorkerStandIn() {
+    ~FakeWorker() {
         for (auto& [name, task] : tasks_) remove_from_running(name, task);
     }
     const std::string& id() const { return id_; }
@@ -394,16 +399,16 @@
     const std::string& zone() const { return zone_; }
     std::uint64_t fencing_token() const { return fencing_token_; }
     // Returns the index of the controller that receives the heartbeats.
-    std::size_t home() const { return controller_ % nodes_.size(); }
-    bool hung = false;            // sends no heartbeats, answers no requests and completes no tasks
-    bool deaf = false;            // heartbeats are delivered, but neither responses nor commands are received
-    bool hold_orders = false;     // command requests are kept in `recorded_attempts` and not answered
-    io::Micros order_latency{0};  // from the arrival of commands until their execution
-    std::vector<Json> recorded_attempts;
-    Json last_report;
+    std::size_t current_controller() const { return controller_ % nodes_.size(); }
+    bool suspended = false;      // sends no heartbeats, answers no requests and completes no tasks
+    bool unreachable = false;    // heartbeats are delivered, but neither responses nor commands are received
+    bool hold_commands = false;  // command requests are kept in `held_requests` and not answered
+    io::Micros command_latency{0};  // from the arrival of commands until their execution
+    std::vector<Json> held_requests;
+    Json last_heartbeat;
     std::uint64_t incarnation() const { return incarnation_; }
     // Delivers a late or duplicated command request. Returns false if it was rejected as fenced.
-    bool late_orders(const Json& request) {
+    bool deliver_late_commands(const Json& request) {
         if (request["baton"].get<std::uint64_t>() < fencing_token_ || request["stint"] != incarnation_)
             return false;
         execute(request["calls"]);
@@ -427,7 +432,7 @@
             tasks.push_back(entry);
         }
         return {{"perch", id_},
-                {"address", text_of(address_)},
+                {"address", address_text(address_)},
                 {"build", "c4"},
                 {"roost", zone_},
                 {"borrowed", false},
@@ -454,12 +459,12 @@
         }
     }
     void start_task(const std::string& name, std::uint64_t attempt) {
-        if (world_.running.contains(name)) world_.broken_rules.push_back("ran_twice " + name);
-        for (const auto& dependency : world_.needs[name.substr(0, name.find('/'))]) {
+        if (world_.running.contains(name)) world_.violations.push_back("ran_twice " + name);
+        for (const auto& dependency : world_.required_tasks[name.substr(0, name.find('/'))]) {
             if (world_.completed[dependency] != 0) continue;
             std::string violation = "too_early " + name;
             violation += " before " + dependency;
-            world_.broken_rules.push_back(std::move(violation));
+            world_.violations.push_back(std::move(violation));
         }
         world_.running[name] = id_;
         ++world_.started[name];
@@ -472,13 +477,13 @@
         task.cause = "stopped";
     }
     io::Task<io::HttpResponse> handle(io::HttpRequest request) {
-        while (hung || deaf) co_await loop_.sleep(io::Micros{20'000});
-        if (hold_orders && request.target == "/orders") {
-            recorded_attempts.push_back(*wire::decode(request.body));
-            while (hold_orders) co_await loop_.sleep(io::Micros{20'000});
+        while (suspended || unreachable) co_await loop_.sleep(io::Micros{20'000});
+        if (hold_commands && request.target == "/orders") {
+            held_requests.push_back(*wire::decode(request.body));
+            while (hold_commands) co_await loop_.sleep(io::Micros{20'000});
             co_await loop_.sleep(io::Micros{3'000'000});  // longer than the caller's time-out
         }
-        if (order_latency.count() > 0 && request.target == "/orders") co_await loop_.sleep(order_latency);
+        if (command_latency.count() > 0 && request.target == "/orders") co_await loop_.sleep(command_latency);
         if (request.target == "/status") co_return reply(200, heartbeat());
         const auto body = wire::decode(request.body);
         if (!body || !body->contains("baton") || !body->contains("stint")) co_return reply(400);
@@ -492,15 +497,15 @@
     io::Task<void> send_heartbeats() {
         while (true) {
             co_await loop_.sleep(io::Micros{100'000});
-            while (hung) co_await loop_.sleep(io::Micros{20'000});
+            while (suspended) co_await loop_.sleep(io::Micros{20'000});
             const auto sent_at = io::steady_now();
             if (sent_at - lease_start_ > io::Micros{static_cast<std::int64_t>(world_.lease_s * 1e6)})
                 begin_incarnation(sent_at);
-            last_report = heartbeat();
+            last_heartbeat = heartbeat();
             auto sending = client_.send(nodes_[controller_ % nodes_.size()], "POST", "/hello",
-                                        wire::encode(last_report), sent_at + io::Micros{700'000});
+                                        wire::encode(last_heartbeat), sent_at + io::Micros{700'000});
             auto response = co_await std::move(sending);
-            if (deaf) response = io::HttpError::timed_out;
+            if (unreachable) response = io::HttpError::timed_out;
             const auto body = response.has_status(200) || response.has_status(421)
                                   ? wire::decode(response->body)
                                   : std::nullopt;
@@ -528,10 +533,10 @@
     io::Task<void> complete_tasks() {
         while (true) {
             co_await loop_.sleep(io::Micros{20'000});
-            if (hung) continue;
+            if (suspended) continue;
             for (auto& [name, task] : tasks_) {
                 if (task.state != "running" || task.completes_at > io::steady_now() ||
-                    world_.endless.contains(name.substr(0, name.find('/'))))
+                    world_.endless_jobs.contains(name.substr(0, name.find('/'))))
                     continue;
                 remove_from_running(name, task);
                 task.state = "exited";
@@ -542,7 +547,7 @@
     }
 
     io::Loop& loop_;
-    World& world_;
+    Workload& world_;
     std::string id_, zone_;
     std::vector<io::Address> nodes_;
     std::vector<std::string> labels_;
@@ -559,17 +564,17 @@
 
 /// Fake cloud with one machine type and capacity for a few instances. Fulfills each request id once, by
 /// starting a fake worker.
-class CloudStandIn {
+class FakeCloud {
   public:
-    using MakeWorker = std::function<std::unique_ptr<WorkerStandIn>(std::string id, std::string zone)>;
-    CloudStandIn(io::Loop& loop, MakeWorker make_worker)
-        : address(local(free_port())),
+    using MakeWorker = std::function<std::unique_ptr<FakeWorker>(std::string id, std::string zone)>;
+    FakeCloud(io::Loop& loop, MakeWorker make_worker)
+        : address(loopback_address(free_port())),
           make_worker_(std::move(make_worker)),
           server_(loop, address, {}, [this](io::HttpRequest request) { return handle(std::move(request)); }) {
         scope_.spawn(server_.serve());
     }
     const io::Address address;
-    std::map<std::string, std::unique_ptr<WorkerStandIn>> workers;
+    std::map<std::string, std::unique_ptr<FakeWorker>> workers;
     double cores = 4.0;  // CPU cores of the machine type in the catalog
 
   private:
@@ -611,7 +616,7 @@
         Json list = Json::array();
         for (const auto& [id, worker] : workers) {
             list.push_back({{"id", id},
-                            {"address", text_of(worker->address())},
+                            {"address", address_text(worker->address())},
                             {"build", "c4"},
                             {"roost", worker->zone()},
                             {"borrowed", false},
--- a/tests/gang_at_team_limit_test.cpp
+++ b/tests/gang_at_team_limit_test.cpp
@@ -41,7 +41,7 @@
         core::Job array = test::job("req-2", "x", kRunningTasks, 1);
         array.priority = array_priority;
         cluster.job_table.put_job(array, 1);
-        cluster.now += core::kBeginWithin * 2;
+        cluster.now += core::kOverdueAfter * 2;
         record_running({}, 1);
         cluster.cluster_view.apply(test::heartbeat("n-2", "big", "b"), cluster.now, cluster.now);
     }
@@ -80,7 +80,7 @@
 };
 
 // The gang needs 4 of 8 CPUs, of which 6 are used: two tasks are preempted, and then the gang starts.
-TEST(GangAtTheTeamsLimit, StopsLowerPriorityTasksOfItsOwnTeam) {
+TEST(GangAtTheTeamsLimit, PreemptsLowerPriorityTasksOfItsOwnTeam) {
     TeamAtItsLimit team{core::Priority::normal};
     team.cluster.job_table.put_job(overdue_gang(2, 2), 3);
     const auto first = team.place();
@@ -95,7 +95,7 @@
 }
 
 // While preempted tasks have not exited yet, no other tasks are preempted.
-TEST(GangAtTheTeamsLimit, StopsNobodyElseWhileTheFirstStopsAreUnderWay) {
+TEST(GangAtTheTeamsLimit, PreemptsNoOtherTasksWhilePreemptionsAreUnderWay) {
     TeamAtItsLimit team{core::Priority::normal};
     team.cluster.job_table.put_job(overdue_gang(2, 2), 3);
     const auto first = team.place();
@@ -110,7 +110,7 @@
 }
 
 // Tasks of the same priority are not preempted, and none are preempted if the gang would still not fit.
-TEST(GangAtTheTeamsLimit, StopsNothingOfItsOwnPriorityAndNothingInVain) {
+TEST(GangAtTheTeamsLimit, PreemptsNoTaskOfItsOwnPriorityAndNoneIfItWouldStillNotFit) {
     TeamAtItsLimit equal{core::Priority::high};
     equal.cluster.job_table.put_job(overdue_gang(2, 2), 3);
     EXPECT_TRUE(equal.place().stops.empty());
@@ -121,14 +121,14 @@
 
 // On generated clusters, preemptions for an overdue gang affect neither gangs nor production jobs, no task is
 // preempted twice, and the pass keeps the teams' limits.
-TEST(GangAtTheTeamsLimit, KeepsTheRulesOnAnyCluster) {
-    test::holds("stops are lower work, the limit holds", [] {
+TEST(GangAtTheTeamsLimit, PreemptsNeitherGangsNorProductionAndKeepsLimitsOnGeneratedClusters) {
+    test::check_property("stops are lower work, the limit holds", [] {
         Cluster cluster = test::draw_cluster();
         const auto tasks = *rc::gen::inRange<std::uint32_t>(1, 6);
         core::Job gang = overdue_gang(tasks, *rc::gen::element(1.0, 2.0, 4.0));
         gang.id = "req-900";
         cluster.job_table.put_job(gang, 1'000);
-        cluster.now += core::kBeginWithin * 2;
+        cluster.now += core::kOverdueAfter * 2;
         core::FreeCapacity capacity = cluster.free_capacity();
         const auto result = core::place(test::placement_input(cluster), capacity);
         std::map<std::string, core::Resources> use;
@@ -145,7 +145,7 @@
             RC_ASSERT(job.priority != core::Priority::production);
             RC_ASSERT((stopped.insert({stop.job, stop.task}).second));
         }
-        RC_ASSERT(result.stops.size() <= test::placement_input(cluster).most_stops);
+        RC_ASSERT(result.stops.size() <= test::placement_input(cluster).max_stops);
     });
 }
 
--- a/tests/io_test.cpp
+++ b/tests/io_test.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <vector>
 
-#include "stand_ins.hpp"
+#include "fake_services.hpp"
 #include "support.hpp"
 
 namespace hatchwind {
@@ -95,7 +95,7 @@
 
 struct Echo {
     io::Loop loop;
-    io::Address address = test::local(test::free_port());
+    io::Address address = test::loopback_address(test::free_port());
     io::HttpServer server;
     io::Scope scope;
     Micros answer_after{0};
@@ -185,8 +185,8 @@
     io::Loop loop;
     run(loop, [&]() -> Task<void> {
         io::HttpClient client{loop};
-        auto task =
-            client.send(test::local(test::free_port()), "GET", "/", "", io::steady_now() + Micros{1'000'000});
+        auto task = client.send(test::loopback_address(test::free_port()), "GET", "/", "",
+                                io::steady_now() + Micros{1'000'000});
         const auto r = co_await std::move(task);
         EXPECT_EQ(r.status_or(0), 0);
         EXPECT_TRUE(r.never_sent());
@@ -198,7 +198,7 @@
 TEST(Http, AClientStaysBelowItsSocketsWhateverIsAskedOfIt) {
     Echo a;
     a.answer_after = Micros{5'000};
-    const io::Address other = test::local(test::free_port());
+    const io::Address other = test::loopback_address(test::free_port());
     io::HttpServer second{
         a.loop, other, {}, [](io::HttpRequest) -> Task<io::HttpResponse> { co_return io::HttpResponse{}; }};
     io::Scope scope;
@@ -248,8 +248,8 @@
         EXPECT_TRUE(waited.never_sent());
         EXPECT_TRUE(waited.has_error(io::HttpError::pool_exhausted));
         co_await slow.loop.sleep(Micros{500'000});
-        auto nobody =
-            client.send(test::local(test::free_port()), "GET", "/", "", io::steady_now() + Micros{100'000});
+        auto nobody = client.send(test::loopback_address(test::free_port()), "GET", "/", "",
+                                  io::steady_now() + Micros{100'000});
         const auto refused = co_await std::move(nobody);
         EXPECT_TRUE(refused.never_sent());
         EXPECT_FALSE(refused.has_error(io::HttpError::pool_exhausted));
@@ -301,7 +301,7 @@
     io::Loop loop;
     io::HttpResult result = io::HttpError::connect_failed;
     run(loop, [&]() -> Task<void> {
-        const io::Address at = test::local(test::free_port());
+        const io::Address at = test::loopback_address(test::free_port());
         io::Scope scope;
         scope.spawn(answer_once(loop, at, answer, after));
         io::HttpClient client{loop};
@@ -341,7 +341,7 @@
 TEST(Socket, SaysWhetherTheDeadlineOrTheConnectionEndedAnOperation) {
     io::Loop loop;
     run(loop, [&]() -> Task<void> {
-        const io::Address at = test::local(test::free_port());
+        const io::Address at = test::loopback_address(test::free_port());
         const Micros soon = io::steady_now() + Micros{100'000};
         auto refused = io::connect(loop, at, soon);
         const auto nothing = co_await std::move(refused);
--- a/tests/job_table_test.cpp
+++ b/tests/job_table_test.cpp
@@ -7,10 +7,10 @@
 namespace hatchwind {
 namespace {
 
-using test::holds;
+using test::check_property;
 
 TEST(RangeSet, AgreesWithASet) {
-    holds("insertions in any order", [](const std::vector<std::uint8_t>& values) {
+    check_property("insertions in any order", [](const std::vector<std::uint8_t>& values) {
         core::RangeSet range_set;
         std::set<std::uint32_t> model;
         for (const auto value : values) RC_ASSERT(range_set.insert(value) == model.insert(value).second);
@@ -26,7 +26,7 @@
 
 // A page with the first attempts of a released job may be read before the record of the release. Guards
 // against usage that stays with kWaitingTeam instead of moving to the job's team.
-TEST(JobTable, AReleaseThatIsReadLateMovesTheUseToTheTeam) {
+TEST(JobTable, LateReleaseRecordMovesUsageToTheTeam) {
     core::JobTable job_table;
     core::Job job = test::job("req-1", core::kWaitingTeam, 4, 2);
     job.dependencies = {"req-0"};
@@ -49,8 +49,8 @@
 
 // The parts of a long dependency list and the job's record may arrive in any order. Guards against a partial
 // list that counts as known.
-TEST(JobTable, ALongListIsKnownOnceAllItsPartsAre) {
-    holds("parts and record in any order", [] {
+TEST(JobTable, DependencyListIsKnownOnceAllItsPartsAre) {
+    check_property("parts and record in any order", [] {
         core::Job job = test::job("req-1", core::kWaitingTeam, 1, 1);
         job.team_once_released = "x";
         job.dependency_list = "l";
@@ -137,8 +137,8 @@
 
 // Changes of a record may arrive late, duplicated or out of order. Guards against a job table that differs
 // from the store afterwards.
-TEST(JobTable, EndsWhereTheStoreIsWhateverOrderChangesArriveIn) {
-    holds("reordered and repeated changes", [] {
+TEST(JobTable, ConvergesToTheStoreWithReorderedAndRepeatedChanges) {
+    check_property("reordered and repeated changes", [] {
         core::JobTable job_table;
         job_table.put_job(test::job("req-1", "x", 200, 2), 1);
         Chunks store;
@@ -185,7 +185,7 @@
 
 // The store is read in ranges while it changes, so a page can be newer than the record of its job that was
 // read. Guards against losing the attempts of a page that arrives before its job.
-TEST(JobTable, APageThatComesBeforeItsJobIsNotLost) {
+TEST(JobTable, PageReadBeforeItsJobRecordIsKept) {
     core::JobTable job_table;
     core::Chunk chunk;
     chunk.open[3] = {1, "n-1", 1};
@@ -208,14 +208,14 @@
     EXPECT_EQ(job_table.open_attempt("req-1", 3), nullptr);
 }
 
-TEST(JobTable, AJobOfAHundredThousandTasksTouchesOnlyWhatRan) {
+TEST(JobTable, JobOf100000TasksHasNoChunksBeforeItsFirstStart) {
     core::JobTable job_table;
     job_table.put_job(test::job("req-1", "x", 100'000, 1), 1);
     EXPECT_TRUE(job_table.find("req-1")->chunks.empty());
     EXPECT_EQ(core::unstarted_tasks(*job_table.find("req-1"), 50).size(), 50U);
 }
 
-TEST(ClusterView, NewestIncarnationAndSequenceWinAndReleasedMachinesStayGone) {
+TEST(ClusterView, NewestHeartbeatWinsAndReleasedMachinesStayReleased) {
     core::ClusterView cluster_view;
     auto heartbeat = test::heartbeat("n-1", "small", "a");
     heartbeat.heartbeat_sequence = 5;
@@ -226,16 +226,16 @@
     heartbeat.heartbeat_sequence = 1;
     EXPECT_TRUE(cluster_view.apply(heartbeat, core::Micros{3}, core::Micros{3}));
     const core::Attempt old{1, "n-1", 1};
-    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, old).status, core::AttemptStatus::gone);
+    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, old).status, core::AttemptStatus::lost);
     const core::Attempt current{2, "n-1", 2};
     EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, current).status, core::AttemptStatus::unlisted)
         << "a missing task proves nothing";
     cluster_view.release("n-1", core::Micros{1});
     heartbeat.heartbeat_sequence = 9;
     EXPECT_FALSE(cluster_view.apply(heartbeat, core::Micros{4}, core::Micros{4}));
-    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, current).status, core::AttemptStatus::gone);
+    EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, current).status, core::AttemptStatus::lost);
     EXPECT_EQ(core::view_attempt(cluster_view, "req-1", 0, {1, "n-9", 1}).status,
-              core::AttemptStatus::silent);
+              core::AttemptStatus::unresponsive);
 }
 
 }  // namespace
--- a/tests/outage_cancel_test.cpp
+++ b/tests/outage_cancel_test.cpp
@@ -1,8 +1,8 @@
 // Cancellations and worker leases when the state service, the leader and workers fail at the same time.
 #include "controller/controller.hpp"
-#include "site.hpp"
 #include "store/store_keys.hpp"
 #include "support.hpp"
+#include "test_deployment.hpp"
 #include "wire/records.hpp"
 #include "worker_state.hpp"
 
@@ -11,7 +11,7 @@
 
 using io::Micros;
 using io::Task;
-using test::Site;
+using test::TestDeployment;
 using wire::Json;
 
 controller::Settings settings_with_lease(double lease_s) {
@@ -49,15 +49,15 @@
     EXPECT_TRUE(state.leases.is_expired("n-1", 2, now + 13 * kSecond));
 }
 
-TEST(IncarnationLease, OfAnIncarnationKnownFromARecordOnlyIsCountedFromWhenTheRecordWasSeen) {
+TEST(IncarnationLease, CountsFromTheRecordOfAnIncarnationWithoutHeartbeats) {
     test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
-    state.leases.record_peer_renewal("n-1", now - 30 * kSecond);
+    state.leases.record_renewal("n-1", now - 30 * kSecond);
     EXPECT_FALSE(state.leases.is_expired("n-1", 5, now + 9 * kSecond));
     EXPECT_TRUE(state.leases.is_expired("n-1", 5, now + 13 * kSecond));
 }
 
-TEST(IncarnationLease, IsUnchangedByLaterNewsOfTheIncarnation) {
+TEST(IncarnationLease, IsUnchangedByLaterStatusesOfTheIncarnation) {
     test::WorkerState state(settings_with_lease(10));
     const Micros now = io::wall_now();
     for (std::uint64_t sequence = 1; sequence < 4; ++sequence)
@@ -74,7 +74,7 @@
     cluster_view.apply(heartbeat_of_incarnation(1, 1), kSecond, 50 * kSecond, true);
     core::Availability availability;
     availability.now = kSecond;
-    availability.silent_after = 5 * kSecond;
+    availability.unresponsive_after = 5 * kSecond;
     availability.answered_since = 45 * kSecond;
     EXPECT_TRUE(
         core::FreeCapacity::build(cluster_view, job_table, catalog, availability).machines().front().usable);
@@ -111,13 +111,13 @@
 // The state service first refuses only the leader. Another controller confirms a cancel, and then the state
 // service is down for all controllers, for longer than a cancel may take.
 void run_outage_scenario(const OutageScenario& scenario) {
-    Site site{3, 0};
-    site.world.lease_s = 4;
+    TestDeployment site{3, 0};
+    site.workload.lease_s = 4;
     site.cancel_s = 7;
     site.kill(1);  // leaves n0, behind its relay, as leader and shard owner
     site.kill(2);
-    site.world.endless = {"req-1"};
-    site.play([scenario](Site& s) -> Task<void> {
+    site.workload.endless_jobs = {"req-1"};
+    site.play([scenario](TestDeployment& s) -> Task<void> {
         const std::function<bool()> led = [&] { return s.leader() == "n0"; };
         auto leading = s.until(led);
         co_await std::move(leading);
@@ -131,12 +131,12 @@
         auto members = s.until(joined);
         co_await std::move(members);
         if (scenario.mesh_cut) {
-            s.cut_off(true);
+            s.isolate(true);
         } else {
-            s.cut_store(true);
+            s.block_store(true);
         }
         co_await s.loop.sleep(scenario.before_cancel);
-        if (scenario.machine_hangs) s.cloud.workers.at(s.world.running.begin()->second)->hung = true;
+        if (scenario.machine_hangs) s.cloud.workers.at(s.workload.running.begin()->second)->suspended = true;
         auto cancelling = s.call(1, "POST", "/api/jobs/req-1/cancel", nullptr);
         const auto answer = co_await std::move(cancelling);
         EXPECT_EQ(answer.first, 200);
@@ -146,14 +146,14 @@
         co_await s.loop.sleep(scenario.before_outage);
         s.state.down = true;
         const std::function<bool()> all_stopped = [&] {
-            return s.world.running.empty() || io::steady_now() - confirmed > Micros{9'000'000};
+            return s.workload.running.empty() || io::steady_now() - confirmed > Micros{9'000'000};
         };
         auto ending = s.until(all_stopped);
         co_await std::move(ending);
         EXPECT_LT(io::steady_now() - confirmed, scenario.max_stop_time);
         s.state.down = false;
-        if (scenario.mesh_cut) s.cut_off(false);
-        s.cut_store(false);
+        if (scenario.mesh_cut) s.isolate(false);
+        s.block_store(false);
         if (scenario.canceller_crashes) s.start(1);
         auto final = s.until_status("req-1", "cancelled");
         co_await std::move(final);
@@ -167,13 +167,13 @@
     scenario.max_stop_time = Micros{1'500'000};
     run_outage_scenario(scenario);
 }
-TEST(OutageAfterCancel, TasksAreGoneWhenTheOutageComesASecondLater) {
+TEST(OutageAfterCancel, TasksHaveStoppedWhenTheOutageBeginsASecondLater) {
     run_outage_scenario({Micros{50'000}, Micros{900'000}, false, false, false});
 }
-TEST(OutageAfterCancel, TasksAreGoneWhenTheAnsweringControllerCrashesAtOnce) {
+TEST(OutageAfterCancel, TasksHaveStoppedWhenTheAnsweringControllerCrashesAtOnce) {
     run_outage_scenario({Micros{100'000}, Micros{50'000}, true, false, false});
 }
-TEST(OutageAfterCancel, TasksAreGoneWhenTheShardOwnerIsPartitioned) {
+TEST(OutageAfterCancel, TasksHaveStoppedWhenTheShardOwnerIsPartitioned) {
     run_outage_scenario({Micros{100'000}, Micros{50'000}, false, true, false});
 }
 TEST(OutageAfterCancel, AMachineThatHangsIsReleasedInTime) {
--- a/tests/peer_protocol_test.cpp
+++ b/tests/peer_protocol_test.cpp
@@ -5,7 +5,7 @@
 namespace hatchwind {
 namespace {
 
-using test::holds;
+using test::check_property;
 
 std::vector<wire::CancellationNotice> draw_cancels() {
     std::vector<wire::CancellationNotice> cancellations;
@@ -64,7 +64,7 @@
 }
 
 TEST(MeshCodec, FramesSurviveAnySplit) {
-    holds("split anywhere", [] {
+    check_property("split anywhere", [] {
         const auto heartbeat = draw_heartbeat();
         const wire::LeaseExtensionRequest ask{9, 1'500'000, *rc::gen::arbitrary<std::uint64_t>()};
         const wire::LeaseExtensionVote promise{9, true, draw_cancels()};
@@ -116,7 +116,7 @@
 }
 
 TEST(MeshCodec, ArbitraryBytesEndInBrokenOrWaiting) {
-    holds("any bytes", [](const std::string& bytes) {
+    check_property("any bytes", [](const std::string& bytes) {
         wire::FrameReader r;
         r.add(bytes);
         int n = 0;
@@ -130,7 +130,7 @@
 }
 
 TEST(MeshCodec, DamagedFramesNeverCrash) {
-    holds("one changed byte", [] {
+    check_property("one changed byte", [] {
         std::string bytes = wire::encode_frame(draw_heartbeat());
         bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = static_cast<char>(*rc::gen::inRange(0, 256));
         wire::FrameReader r;
--- a/tests/pipeline_schedule_test.cpp
+++ b/tests/pipeline_schedule_test.cpp
@@ -17,8 +17,8 @@
 using core::Micros;
 using core::PipelineSchedule;
 using core::Priority;
+using test::check_property;
 using test::Cluster;
-using test::holds;
 
 const std::vector<core::Objective> kNoObjectives;
 
@@ -130,7 +130,7 @@
         std::vector<double> candidates_s{*job.deadline_s};
         for (const auto& objective : objectives_) {
             if (objective.kind == "deadline" && objective.job_class == job.job_class)
-                candidates_s.push_back(*job.deadline_s * objective.times);
+                candidates_s.push_back(*job.deadline_s * objective.deadline_multiple);
         }
         std::sort(candidates_s.begin(), candidates_s.end());
         for (const double candidate_s : candidates_s) {
@@ -193,8 +193,8 @@
     return job_table;
 }
 
-TEST(PipelineSchedule, EqualsThePlainModelOnAnyGraph) {
-    holds("priority, due, latest start", [] {
+TEST(PipelineSchedule, AgreesWithBruteForceModel) {
+    check_property("priority, due, latest start", [] {
         const core::JobTable job_table = draw_pipelines();
         std::vector<core::Objective> objectives;
         if (*rc::gen::arbitrary<bool>()) objectives.push_back({"deadline", "c", 0, 0.9, 1.5});
@@ -250,7 +250,7 @@
     EXPECT_EQ(schedule.upcoming().size(), 3U);
 }
 
-TEST(PipelineSchedule, ADeadlineThatNoRunCanMeetGivesWayToALaterOne) {
+TEST(PipelineSchedule, UnreachableDeadlineIsReplacedByALaterOne) {
     Cluster cluster;
     cluster.now = Micros{200'000'000};
     cluster.job_table.put_job(ordinary_job("req-1", Priority::best_effort), 1);
@@ -275,7 +275,7 @@
     EXPECT_TRUE(schedule_of(cluster).upcoming().empty());
 }
 
-TEST(PipelineSchedule, BearsLongChainsAndWideFans) {
+TEST(PipelineSchedule, HandlesLongChainsAndWideFans) {
     constexpr int kJobs = 20000;
     core::JobTable chain;
     core::JobTable fan;
@@ -437,8 +437,8 @@
 
 // Guards against two jobs that preempt each other alternately: a job may be stopped only for a job of higher
 // effective priority, or to satisfy a team's guarantee.
-TEST(PipelinePreemption, GoesDownwardsOnAnyCluster) {
-    holds("stops", [] {
+TEST(PipelinePreemption, StopsOnlyLowerPrioritiesExceptForGuarantees) {
+    check_property("stops", [] {
         Cluster cluster = test::draw_cluster();
         // No job is overdue, because capacity for overdue jobs may be found on another machine later in the
         // same pass.
@@ -486,8 +486,8 @@
 
 // ---- Waiting jobs have no effect on placement and scaling.
 
-TEST(WaitingJobs, CountNowhereInAPlacementPass) {
-    holds("the same pass with and without", [] {
+TEST(WaitingJobs, DoNotAffectAPlacementPass) {
+    check_property("the same pass with and without", [] {
         Cluster with = test::draw_cluster();
         Cluster without = with;
         // They depend on a job that has ended, so they impose no demands.
@@ -515,7 +515,7 @@
     });
 }
 
-TEST(WaitingJobs, TakeNoPartOfAGuarantee) {
+TEST(WaitingJobs, UseNoneOfTheTeamGuarantee) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 4, 24, 0, 0};
     cluster.teams["y"] = {"y", 0, 24, 0, 0};
--- a/tests/pipelines_test.cpp
+++ b/tests/pipelines_test.cpp
@@ -2,7 +2,7 @@
 // the cloud and the workers.
 #include <gtest/gtest.h>
 
-#include "site.hpp"
+#include "test_deployment.hpp"
 #include "wire/records.hpp"
 #include "wire/user_api.hpp"
 
@@ -11,38 +11,38 @@
 
 using io::Micros;
 using io::Task;
-using test::Site;
+using test::TestDeployment;
 using wire::Json;
-using Treatment = test::StateStandIn::Treatment;
+using CommitHandling = test::FakeStore::CommitHandling;
 
 std::string id_of(int number) { return "req-" + std::to_string(number); }
 
 Json dependent(const std::string& id, const std::string& team, const std::vector<std::string>& dependencies) {
-    Json submission = Site::submission(id, team, "sweep", 1);
+    Json submission = TestDeployment::submission(id, team, "sweep", 1);
     submission["awaits"] = dependencies;
     return submission;
 }
 
 // Submits a job and registers its dependencies with the rule checks: a start before they complete is a
 // violation.
-Task<Json> submit(Site& site, Json submission) {
+Task<Json> submit(TestDeployment& site, Json submission) {
     const std::string id = submission["id"];
     if (submission.contains("awaits")) {
         for (const auto& dependency : submission["awaits"])
-            site.world.needs[id].push_back(dependency.get<std::string>() + "/0");
+            site.workload.required_tasks[id].push_back(dependency.get<std::string>() + "/0");
     }
-    auto task = site.insist("POST", "/api/jobs", std::move(submission), {200, 201});
+    auto task = site.retry_until("POST", "/api/jobs", std::move(submission), {200, 201});
     Json answer = co_await std::move(task);
     co_return answer;
 }
-Task<Json> cancel(Site& site, std::string id) {
-    auto task = site.insist("POST", "/api/jobs/" + id + "/cancel", nullptr, {200});
+Task<Json> cancel(TestDeployment& site, std::string id) {
+    auto task = site.retry_until("POST", "/api/jobs/" + id + "/cancel", nullptr, {200});
     Json answer = co_await std::move(task);
     co_return answer;
 }
 // Returns the statuses that the live controllers report for the job. Polls each one until it answers with
 // 200.
-Task<std::set<std::string>> statuses(Site& site, std::string id) {
+Task<std::set<std::string>> statuses(TestDeployment& site, std::string id) {
     std::set<std::string> reported;
     for (std::size_t node = 0; node < site.labels().size(); ++node) {
         while (site.up(node)) {
@@ -57,16 +57,17 @@
     }
     co_return reported;
 }
-// Submits a job with one task that runs until the test removes it from `endless`, and waits for its start.
-Task<void> submit_endless(Site& site, std::string id, std::string team) {
-    site.world.endless.insert(id);
-    auto step = submit(site, Site::submission(id, team, "sweep", 1));
+// Submits a job with one task that runs until the test removes it from `endless_jobs`, and waits for its
+// start.
+Task<void> submit_endless(TestDeployment& site, std::string id, std::string team) {
+    site.workload.endless_jobs.insert(id);
+    auto step = submit(site, TestDeployment::submission(id, team, "sweep", 1));
     co_await std::move(step);
-    const std::function<bool()> runs = [&site, id] { return site.world.running.contains(id + "/0"); };
+    const std::function<bool()> runs = [&site, id] { return site.workload.running.contains(id + "/0"); };
     auto waiting = site.until(runs);
     co_await std::move(waiting);
 }
-std::string final_state(const Site& site, const std::string& id) {
+std::string final_state(const TestDeployment& site, const std::string& id) {
     const auto item = site.state.items.find("f/" + id);
     return item == site.state.items.end() ? "" : item->second.value["s"].get<std::string>();
 }
@@ -85,9 +86,9 @@
 const std::set<std::string> kQueued{"queued"};
 const std::set<std::string> kCancelled{"cancelled"};
 
-TEST(PipelineSubmission, TheNamesOfOtherJobsAreCheckedForTheirShape) {
+TEST(PipelineSubmission, DependencyListsAreValidated) {
     const auto parse = [](const Json& dependencies) {
-        Json submission = Site::submission("req-7", "x", "sweep", 1);
+        Json submission = TestDeployment::submission("req-7", "x", "sweep", 1);
         submission["awaits"] = dependencies;
         return wire::parse_submission(submission);
     };
@@ -110,9 +111,9 @@
     EXPECT_EQ(twice.dependencies, (std::vector<std::string>{"req-1", "req-2"}));
 }
 
-TEST(PipelineSubmission, WrongShapeIs400NeverAcceptedIs422AndUndecidedIs503) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+TEST(PipelineSubmission, MalformedIs400UnknownDependencyIs422AndUndecidedIs503) {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto first = submit_endless(site, "req-1", "x");
         co_await std::move(first);
         for (std::size_t node = 0; node < 3; ++node) {
@@ -141,11 +142,11 @@
         const auto accepted_answer = co_await std::move(accepted);
         EXPECT_EQ(accepted_answer["status"], "queued");
         Json repeat = dependent("req-2", "y", {"req-99"});
-        auto repeating = site.insist("POST", "/api/jobs", repeat, {200, 201, 400, 422});
+        auto repeating = site.retry_until("POST", "/api/jobs", repeat, {200, 201, 400, 422});
         const auto repeat_answer = co_await std::move(repeating);
         EXPECT_EQ(repeat_answer["status"], "queued");
         repeat["awaits"] = 5;
-        auto repeating_malformed = site.insist("POST", "/api/jobs", repeat, {200, 201, 400, 422});
+        auto repeating_malformed = site.retry_until("POST", "/api/jobs", repeat, {200, 201, 400, 422});
         const auto malformed_repeat_answer = co_await std::move(repeating_malformed);
         EXPECT_EQ(malformed_repeat_answer["status"], "queued");
         EXPECT_EQ(site.state.items.at("h/job/req-2").value["team"], core::kWaitingTeam);
@@ -154,9 +155,9 @@
 
 // The jobs of the pipeline belong to three teams, each with its own shard owner. Deadlines count from the
 // submission, not from the release.
-TEST(Pipelines, AJobWaitsQueuedAndRunsOnceAllItNeedsIsDone) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+TEST(Pipelines, AJobStaysQueuedUntilItsDependenciesAreDoneAndRunsOnce) {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         Json second = dependent("req-2", "y", {"req-1", "req-1"});
@@ -186,10 +187,10 @@
             EXPECT_EQ(reported, kQueued);
             EXPECT_EQ(site.state.items.at("h/job/" + id).value["team"], core::kWaitingTeam);
         }
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto done = site.until_status("req-3", "done");
         co_await std::move(done);
-        EXPECT_EQ(site.world.completed["req-2/0"], 1);
+        EXPECT_EQ(site.workload.completed["req-2/0"], 1);
         EXPECT_EQ(final_state(site, "req-2"), "done");
         const Json& record = released.at("req-2");
         EXPECT_FALSE(record.contains("awaits"));
@@ -211,8 +212,8 @@
 // cancelled at once and never reports an older status, although the records are written later in many
 // transactions.
 TEST(Pipelines, ACancelReachesTheEndOfALongChainAtOnce) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         constexpr int kLast = 300;
         const std::vector<std::string> teams{"x", "y", "z"};
         auto root = submit_endless(site, id_of(0), "x");
@@ -249,25 +250,25 @@
             const auto reported_after_writes = co_await std::move(polling_after_writes);
             EXPECT_EQ(reported_after_writes, kCancelled) << i;
         }
-        EXPECT_EQ(site.world.started.size(), 1U);
+        EXPECT_EQ(site.workload.started.size(), 1U);
     });
 }
 
 // A fan-out of several hundred jobs, and one job that depends on all of them and lists each twice. The value
 // limit is so small that the dependency list is stored in separate records. The last job starts only when the
 // others are done, and the lists are then removed from the store.
-TEST(Pipelines, AWideFanAndAListBeyondTheValueLimitAreReleased) {
-    Site test_site{3};
+TEST(Pipelines, AWideFanOutAndADependencyListBeyondTheValueLimitAreReleased) {
+    TestDeployment test_site{3};
     const auto start_again = [&test_site](controller::Settings& settings) {
         settings.value_kb = 2;
         settings.txn_ops = 4;
     };
     for (std::size_t i = 0; i < 3; ++i) test_site.kill(i);
-    test_site.adjust = start_again;
+    test_site.adjust_settings = start_again;
     for (std::size_t i = 0; i < 3; ++i) test_site.start(i);
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         constexpr int kWidth = 250;
-        site.world.run_time = Micros{50'000};
+        site.workload.run_time = Micros{50'000};
         auto root = submit_endless(site, id_of(100'000), "x");
         co_await std::move(root);
         std::vector<std::string> fan;
@@ -296,25 +297,25 @@
         auto polling = statuses(site, id_of(200'000));
         const auto reported = co_await std::move(polling);
         EXPECT_EQ(reported, kQueued);
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto done = site.until_status(id_of(200'000), "done");
         co_await std::move(done);
-        EXPECT_EQ(site.world.completed.size(), static_cast<std::size_t>(kWidth + 2));
+        EXPECT_EQ(site.workload.completed.size(), static_cast<std::size_t>(kWidth + 2));
         const std::function<bool()> removed = [&parts] { return parts() == 0; };
         auto waiting = site.until(removed);
         co_await std::move(waiting);
-        EXPECT_LE(site.state.most_writes, 4U);
+        EXPECT_LE(site.state.max_transaction_writes, 4U);
     });
 }
 
 // A submission of nearly the maximum size depends on thousands of finished jobs. Their final states are read
 // in pages, and only the dependency that is still running is kept.
-TEST(Pipelines, ARequestFullOfNamesIsDecidedWithFewReads) {
-    Site test_site{2};
+TEST(Pipelines, ASubmissionWithThousandsOfDependenciesNeedsFewReads) {
+    TestDeployment test_site{2};
     constexpr int kNames = 4500;
     for (int i = 0; i < kNames; ++i)
         test_site.state.items["f/" + id_of(100'000 + i)] = {{{"s", "done"}, {"done", 1}}, 1, 0};
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         std::vector<std::string> names{"req-1"};
@@ -322,16 +323,16 @@
         Json submission = dependent("req-2", "y", names);
         EXPECT_GT(submission.dump().size(), 58'000U);
         EXPECT_LE(submission.dump().size(), 65'536U);
-        auto accepting = site.insist("POST", "/api/jobs", submission, {200, 201, 400, 422});
+        auto accepting = site.retry_until("POST", "/api/jobs", submission, {200, 201, 400, 422});
         const auto answer = co_await std::move(accepting);
         EXPECT_EQ(answer["status"], "queued");
         EXPECT_EQ(site.state.items.at("h/job/req-2").value["awaits"], Json::array({"req-1"}));
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto done = site.until_status("req-2", "done");
         co_await std::move(done);
         // The same submission is accepted when all its dependencies are done.
         submission["id"] = "req-3";
-        auto ordinary = site.insist("POST", "/api/jobs", submission, {201, 400, 422});
+        auto ordinary = site.retry_until("POST", "/api/jobs", submission, {201, 400, 422});
         co_await std::move(ordinary);
         auto done_2 = site.until_status("req-3", "done");
         co_await std::move(done_2);
@@ -339,9 +340,9 @@
 }
 
 // The shard owner of a waiting job's team crashes when the job's last dependency is done; twice in a row.
-TEST(Pipelines, TheNextShardOwnerReleasesWhatTheLastOneLeftWaiting) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+TEST(Pipelines, TheNextShardOwnerReleasesJobsThatThePreviousOneLeftWaiting) {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         auto second = submit(site, dependent("req-2", "y", {"req-1"}));
@@ -350,13 +351,13 @@
         co_await std::move(third);
         // The store refuses each release until the shard owner of the job's team has crashed.
         std::set<std::string> refused_releases{"req-2", "req-3"};
-        site.state.treat = [&refused_releases](const Json& transaction) {
+        site.state.commit_handling = [&refused_releases](const Json& transaction) {
             for (const auto& id : refused_releases) {
-                if (releases(transaction, id)) return Treatment::refuse;
+                if (releases(transaction, id)) return CommitHandling::refuse;
             }
-            return Treatment::carry_out;
+            return CommitHandling::apply;
         };
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         const std::vector<std::pair<std::string, std::string>> steps{{"req-1", "y"}, {"req-2", "z"}};
         for (const auto& [ended, team] : steps) {
             const std::function<bool()> finished = [&site, ended = ended] {
@@ -380,8 +381,8 @@
         }
         auto done = site.until_status("req-3", "done");
         co_await std::move(done);
-        EXPECT_EQ(site.world.started["req-2/0"], 1);
-        EXPECT_EQ(site.world.started["req-3/0"], 1);
+        EXPECT_EQ(site.workload.started["req-2/0"], 1);
+        EXPECT_EQ(site.workload.started["req-3/0"], 1);
     });
 }
 
@@ -389,10 +390,10 @@
 // cancellation of the dependents, a shard owner that writes them crashes, and more dependents are submitted
 // during and after the cancellation. Once it is confirmed, every controller must report every dependent as
 // cancelled, and none may start.
-TEST(Pipelines, ACancelTakesAllDependentsThoughTheCascadeIsHeldAndItsAuthorEnds) {
-    Site test_site{3};
+TEST(Pipelines, ACancelCancelsAllDependentsWhenTheirRecordsAreDelayedAndTheShardOwnerCrashes) {
+    TestDeployment test_site{3};
     test_site.state.watch_latency = Micros{80'000};
-    test_site.play([](Site& site) -> Task<void> {
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         auto other = submit_endless(site, "req-2", "x");
@@ -405,14 +406,14 @@
             co_await std::move(step);
         }
         bool hold = true;
-        site.state.treat = [&hold](const Json& transaction) {
+        site.state.commit_handling = [&hold](const Json& transaction) {
             for (const std::string id : {"req-3", "req-4", "req-5"}) {
-                if (hold && writes_key(transaction, "f/" + id)) return Treatment::refuse;
+                if (hold && writes_key(transaction, "f/" + id)) return CommitHandling::refuse;
             }
-            return Treatment::carry_out;
+            return CommitHandling::apply;
         };
         io::Scope racing;
-        const auto race = [](Site& raced_site, Json job, bool& accepted) -> Task<void> {
+        const auto race = [](TestDeployment& raced_site, Json job, bool& accepted) -> Task<void> {
             auto step = submit(raced_site, std::move(job));
             co_await std::move(step);
             accepted = true;
@@ -429,7 +430,7 @@
             EXPECT_EQ(reported, kCancelled) << id;
         }
         auto repeat =
-            site.insist("POST", "/api/jobs", dependent("req-5", "x", {"req-2", "req-4"}), {200, 201});
+            site.retry_until("POST", "/api/jobs", dependent("req-5", "x", {"req-2", "req-4"}), {200, 201});
         const auto repeat_answer = co_await std::move(repeat);
         EXPECT_EQ(repeat_answer["status"], "cancelled");
         auto later = submit(site, dependent("req-8", "y", {"req-4"}));
@@ -457,10 +458,10 @@
             auto polling = statuses(site, id);
             const auto reported = co_await std::move(polling);
             EXPECT_EQ(reported, kCancelled) << id;
-            EXPECT_EQ(site.world.started[id + "/0"], 0) << id;
+            EXPECT_EQ(site.workload.started[id + "/0"], 0) << id;
         }
         // Jobs that do not depend on the cancelled job still run.
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto done = site.until_status("req-6", "done");
         co_await std::move(done);
     });
@@ -468,9 +469,9 @@
 
 // Cancelling a job that is already done is answered with `done` and does not affect its dependents.
 // Cancelling a waiting job cancels only that job and its dependents.
-TEST(Pipelines, ACancelAnsweredWithDoneLetsTheRestGoOn) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+TEST(Pipelines, ACancelOfADoneJobDoesNotCancelItsDependents) {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         auto other = submit_endless(site, "req-2", "x");
@@ -482,7 +483,7 @@
             auto step = submit(site, job);
             co_await std::move(step);
         }
-        site.world.endless.erase("req-1");
+        site.workload.endless_jobs.erase("req-1");
         auto finished = site.until_status("req-1", "done");
         co_await std::move(finished);
         auto cancelling = cancel(site, "req-1");
@@ -496,7 +497,7 @@
             const auto reported = co_await std::move(polling);
             EXPECT_EQ(reported, kCancelled) << id;
         }
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto over_2 = site.until_status("req-3", "done");
         co_await std::move(over_2);
         const std::function<bool()> written = [&site] {
@@ -504,15 +505,15 @@
         };
         auto waiting = site.until(written);
         co_await std::move(waiting);
-        EXPECT_EQ(site.world.started["req-4/0"] + site.world.started["req-5/0"], 0);
+        EXPECT_EQ(site.workload.started["req-4/0"] + site.workload.started["req-5/0"], 0);
     });
 }
 
 // The store delays a release, the job is cancelled, and then the release arrives. Also covers late duplicates
 // of a release that was retried and of the writes of a cancellation.
 TEST(Pipelines, LateDuplicatesOfAReleaseOrOfACascadeChangeNothing) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         for (const std::string id : {"req-2", "req-3"}) {
@@ -520,20 +521,20 @@
             co_await std::move(step);
         }
         std::map<std::string, Json> late;
-        site.state.treat = [&late](const Json& transaction) {
+        site.state.commit_handling = [&late](const Json& transaction) {
             // Delays every release of the job that will be cancelled, and the first release of the other job.
             if (releases(transaction, "req-2") ||
                 (releases(transaction, "req-3") && !late.contains("req-3"))) {
                 late[releases(transaction, "req-2") ? "req-2" : "req-3"] = transaction;
-                return Treatment::hold;
+                return CommitHandling::hold;
             }
             if (writes_key(transaction, "f/req-2") && !late.contains("f/req-2")) {
                 late["f/req-2"] = transaction;
-                return Treatment::hold;
+                return CommitHandling::hold;
             }
-            return Treatment::carry_out;
+            return CommitHandling::apply;
         };
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         const std::function<bool()> recorded_attempts = [&late] {
             return late.contains("req-2") && late.contains("req-3");
         };
@@ -542,69 +543,70 @@
         auto cancelling = cancel(site, "req-2");
         const auto cancel_answer = co_await std::move(cancelling);
         EXPECT_EQ(cancel_answer["status"], "cancelled");
-        EXPECT_EQ(site.state.late_commit(late.at("req-2")), 409);
+        EXPECT_EQ(site.state.deliver_late_commit(late.at("req-2")), 409);
         auto done = site.until_status("req-3", "done");
         co_await std::move(done);
-        EXPECT_EQ(site.state.late_commit(late.at("req-3")), 409);
+        EXPECT_EQ(site.state.deliver_late_commit(late.at("req-3")), 409);
         const std::function<bool()> written = [&site] { return final_state(site, "req-2") == "cancelled"; };
         auto waiting_2 = site.until(written);
         co_await std::move(waiting_2);
-        EXPECT_EQ(site.state.late_commit(late.at("f/req-2")), 409);
-        EXPECT_EQ(site.state.late_commit(late.at("req-2")), 409);
+        EXPECT_EQ(site.state.deliver_late_commit(late.at("f/req-2")), 409);
+        EXPECT_EQ(site.state.deliver_late_commit(late.at("req-2")), 409);
         co_await site.loop.sleep(Micros{500'000});
         auto polling = statuses(site, "req-2");
         const auto reported = co_await std::move(polling);
         EXPECT_EQ(reported, kCancelled);
-        EXPECT_EQ(site.world.started["req-2/0"], 0);
-        EXPECT_EQ(site.world.started["req-3/0"], 1);
+        EXPECT_EQ(site.workload.started["req-2/0"], 0);
+        EXPECT_EQ(site.workload.started["req-3/0"], 1);
         EXPECT_FALSE(site.state.items.contains("h/job/req-2"));
     });
 }
 
 // The store commits submissions, releases and final states, but the first answer to each is lost.
 TEST(Pipelines, LostAnswersOfTheStateServiceAreRecoveredFrom) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         std::set<std::string> lost;
-        site.state.treat = [&lost](const Json& transaction) {
+        site.state.commit_handling = [&lost](const Json& transaction) {
             for (const auto& write : transaction["writes"]) {
                 const std::string key = write.value("write", "");
                 const bool is_affected = key.ends_with("/req-2") || key.ends_with("/req-3");
                 const std::string kind = key + (write.contains("v") ? write["v"].value("team", "") : "");
-                if (is_affected && lost.insert(kind).second) return Treatment::lose_answer;
+                if (is_affected && lost.insert(kind).second) return CommitHandling::lose_response;
             }
-            return Treatment::carry_out;
+            return CommitHandling::apply;
         };
         for (const std::string id : {"req-2", "req-3"}) {
             auto step = submit(site, dependent(id, "y", {id == "req-2" ? "req-1" : "req-2"}));
             co_await std::move(step);
         }
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto done = site.until_status("req-3", "done");
         co_await std::move(done);
-        EXPECT_EQ(site.world.started["req-2/0"], 1);
-        EXPECT_EQ(site.world.started["req-3/0"], 1);
+        EXPECT_EQ(site.workload.started["req-2/0"], 1);
+        EXPECT_EQ(site.workload.started["req-3/0"], 1);
         EXPECT_GE(lost.size(), 6U);
     });
 }
 
 // While a controller runs that does not announce support for waiting jobs, jobs that would have to wait are
 // rejected with 503. Jobs whose dependencies are done are accepted.
-TEST(MixedVersions, NothingWaitsWhileAControllerOfAnEarlierVersionRuns) {
-    Site test_site{2};
-    test_site.play([](Site& site) -> Task<void> {
+TEST(MixedVersions, NoWaitingJobIsAcceptedWhileAControllerOfAnEarlierVersionRuns) {
+    TestDeployment test_site{2};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
-        auto submitting = submit(site, Site::submission("req-2", "x", "sweep", 1));
+        auto submitting = submit(site, TestDeployment::submission("req-2", "x", "sweep", 1));
         co_await std::move(submitting);
         auto done = site.until_status("req-2", "done");
         co_await std::move(done);
         // The key and value that the earlier version writes for a controller.
-        EXPECT_EQ(site.state.late_commit({{"when", Json::array()},
-                                          {"writes", {{{"write", "h/node/n9"}, {"v", {{"grant", 77}}}}}}}),
-                  200);
+        EXPECT_EQ(
+            site.state.deliver_late_commit(
+                {{"when", Json::array()}, {"writes", {{{"write", "h/node/n9"}, {"v", {{"grant", 77}}}}}}}),
+            200);
         co_await site.loop.sleep(Micros{400'000});
         for (std::size_t node = 0; node < 2; ++node) {
             auto refused = site.call(node, "POST", "/api/jobs", dependent("req-3", "y", {"req-1"}));
@@ -615,11 +617,11 @@
         const auto accepted_reply = co_await std::move(taken);
         EXPECT_EQ(accepted_reply.first, 201);
         EXPECT_FALSE(site.state.items.contains("h/job/req-3"));
-        site.state.late_commit(
+        site.state.deliver_late_commit(
             {{"when", Json::array()}, {"writes", Json::array({{{"delete", "h/node/n9"}}})}});
         auto accepted = submit(site, dependent("req-3", "y", {"req-1"}));
         co_await std::move(accepted);
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto done_2 = site.until_status("req-3", "done");
         co_await std::move(done_2);
     });
@@ -628,8 +630,8 @@
 // When a user cancels a waiting job at a controller of an earlier version, that version rewrites the job's
 // record with only the fields that it knows. The team that the job would have belonged to is lost.
 TEST(MixedVersions, AWaitingJobThatAnEarlierVersionHasCancelledEnds) {
-    Site test_site{3};
-    test_site.play([](Site& site) -> Task<void> {
+    TestDeployment test_site{3};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         for (const std::string id : {"req-2", "req-3"}) {
@@ -641,8 +643,9 @@
         rewritten.erase("awaits");
         rewritten.erase("later_team");
         rewritten["cancelled"] = io::wall_now().count();
-        EXPECT_EQ(site.state.late_commit({{"when", {{{"path", "h/job/req-2"}, {"stamp", item.mod_revision}}}},
-                                          {"writes", {{{"write", "h/job/req-2"}, {"v", rewritten}}}}}),
+        EXPECT_EQ(site.state.deliver_late_commit(
+                      {{"when", {{{"path", "h/job/req-2"}, {"stamp", item.mod_revision}}}},
+                       {"writes", {{{"write", "h/job/req-2"}, {"v", rewritten}}}}}),
                   200);
         for (const std::string id : {"req-2", "req-3"}) {
             auto polling = statuses(site, id);
@@ -661,8 +664,8 @@
 // The record's team is in no settings, so it has no shard owner. A job whose dependencies can't be read is
 // neither released nor placed.
 TEST(MixedVersions, ARecordWithoutItsNewFieldsIsKeptQueuedAndNeverPlaced) {
-    Site test_site{2};
-    test_site.play([](Site& site) -> Task<void> {
+    TestDeployment test_site{2};
+    test_site.play([](TestDeployment& site) -> Task<void> {
         auto root = submit_endless(site, "req-1", "x");
         co_await std::move(root);
         auto second = submit(site, dependent("req-2", "y", {"req-1"}));
@@ -673,20 +676,20 @@
         stripped.erase("later_team");
         const auto read = wire::parse_job_record("req-2", stripped);
         EXPECT_TRUE(read && read->waiting() && !read->dependencies_known());
-        site.state.late_commit(
+        site.state.deliver_late_commit(
             {{"when", Json::array()}, {"writes", {{{"write", "h/job/req-2"}, {"v", stripped}}}}});
-        site.world.endless.clear();
+        site.workload.endless_jobs.clear();
         auto finished = site.until_status("req-1", "done");
         co_await std::move(finished);
         auto busy = site.run("req-5", "y", "sweep", 4);
         co_await std::move(busy);
-        EXPECT_EQ(site.world.started["req-2/0"], 0);
+        EXPECT_EQ(site.workload.started["req-2/0"], 0);
         EXPECT_TRUE(site.state.items.contains("h/job/req-2"));
     });
 }
 
 // The heartbeat of an earlier version ends before the capabilities field.
-TEST(MixedVersions, AHeartbeatOfAnEarlierVersionAnnouncesNothing) {
+TEST(MixedVersions, AHeartbeatOfAnEarlierVersionAnnouncesNoCapabilities) {
     wire::PeerHeartbeat heartbeat;
     heartbeat.label = "n1";
     heartbeat.capabilities = core::kCapabilities;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 using core::Micros;
+using test::check_property;
 using test::Cluster;
-using test::holds;
 
 TEST(Placement, KeepsEveryRuleOnAnyCluster) {
-    holds("quota, free capacity, type, zones, kind", [] {
+    check_property("quota, free capacity, type, zones, kind", [] {
         const Cluster cluster = test::draw_cluster();
         core::FreeCapacity capacity = cluster.free_capacity();
         const core::FreeCapacity before = cluster.free_capacity();
@@ -53,9 +53,9 @@
     cluster.job_table.put_job(test::job("req-1", "x", 2, 4), 1);
     core::Availability availability;
     availability.now = cluster.now;
-    availability.silent_after = Micros{10'000'000};
+    availability.unresponsive_after = Micros{10'000'000};
     availability.draining = {"n-1"};
-    availability.candidates = {"n-2"};
+    availability.drain_candidates = {"n-2"};
     core::FreeCapacity capacity = cluster.free_capacity(&availability);
     const auto result = core::place(test::placement_input(cluster), capacity);
     ASSERT_EQ(result.starts.size(), 2U);
@@ -77,7 +77,7 @@
 }
 
 // Serving the job with the longest wait first under overload makes every job late in turn.
-TEST(Placement, WhatCanStillBeInTimeGoesBeforeWhatIsLate) {
+TEST(Placement, JobsThatCanStillMeetAnObjectiveGoBeforeLateJobs) {
     core::JobTable job_table;
     const std::vector<core::Objective> objectives{{"finished", "c", 100, 0.9, 1},
                                                   {"finished", "c", 300, 0.9, 1}};
@@ -97,7 +97,7 @@
 
 // Shard owners must not fill freed capacity with work beyond their teams' quotas if another team's quota
 // reserves it: the owner of that team's shard would preempt the work again.
-TEST(Placement, WorkBeyondTheGuaranteeLeavesCapacityReservedForAnotherTeamsQuota) {
+TEST(Placement, JobsBeyondTheirQuotaLeaveCapacityReservedForOtherTeams) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 4, 40, 0, 0};
     cluster.teams["y"] = {"y", 4, 40, 0, 0};
@@ -107,7 +107,7 @@
     cluster.job_table.put_job(own, 1);
     auto input = test::placement_input(cluster);
     input.own_teams = {"x"};
-    input.most_starts = 100;
+    input.max_starts = 100;
     const auto starts = [&] {
         core::FreeCapacity capacity = cluster.free_capacity();
         return core::place(input, capacity).starts.size();
@@ -192,7 +192,7 @@
     EXPECT_EQ(first_at(650, core::Priority::production), "req-2");
 }
 
-TEST(Placement, AGangStartsWholeOrNotAtAll) {
+TEST(Placement, AllTasksOfAGangStartOrNone) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 24, 24, 0, 0};
     for (const char* id : {"n-1", "n-2"})
@@ -266,7 +266,7 @@
     EXPECT_EQ(result.starts[0].job, "req-2");
 }
 
-TEST(Placement, ATeamWithMoreQueuedThanItsGuaranteePreemptsNobody) {
+TEST(Placement, ATeamWithMoreQueuedThanItsQuotaDoesNotPreempt) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 0, 24, 0, 0};
     cluster.teams["y"] = {"y", 4, 24, 0, 0};
@@ -311,7 +311,7 @@
 }
 
 // If a wait objective counted to the job's end, as other objectives do, arrays would look late too early.
-TEST(Queue, AnObjectiveForTheWaitEndsWithTheStart) {
+TEST(Queue, AWaitObjectiveEndsAtTheStart) {
     core::Job job = test::job("req-1", "x", 4, 1);
     job.estimate_s = 20;
     const std::vector<core::Objective> wait{{"wait", "c", 80, 0.9, 1}};
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 using core::Micros;
+using test::check_property;
 using test::Cluster;
-using test::holds;
 
 core::DrainInput drain_input(const Cluster& cluster) {
     core::DrainInput input;
@@ -82,14 +82,14 @@
 
 // Guards against stale cached sums: after any change, free capacity built with a cache equals free capacity
 // built without one.
-TEST(FreeCapacity, WithMemoryIsTheSameAsWithout) {
-    holds("same free capacity", [] {
+TEST(FreeCapacity, CachedBuildEqualsUncachedBuild) {
+    check_property("same free capacity", [] {
         Cluster cluster = test::draw_cluster();
         ClusterChanges changes(cluster);
         core::FreeCapacityCache free_capacity_cache;
         core::Availability availability;
         availability.now = cluster.now;
-        availability.silent_after = core::Micros{10'000'000};
+        availability.unresponsive_after = core::Micros{10'000'000};
         const auto build = [&](core::FreeCapacityCache* cache) {
             return core::FreeCapacity::build(cluster.cluster_view, cluster.job_table, cluster.types,
                                              availability, cache);
@@ -104,8 +104,8 @@
     });
 }
 
-TEST(DrainPlanner, EveryCandidateSetFitsTogether) {
-    holds("candidates leave together", [] {
+TEST(DrainPlanner, TasksOfAllCandidatesFitOnOtherMachinesTogether) {
+    check_property("candidates leave together", [] {
         const Cluster cluster = test::draw_cluster();
         core::DrainSettings settings;
         settings.fleet_minimum = static_cast<std::size_t>(*rc::gen::inRange(0, 3));
@@ -139,7 +139,7 @@
         for (const auto& [id, zone_use] : zones) {
             const auto& job = cluster.job_table.find(id)->job;
             for (const auto& [zone, count] : zone_use.by_zone) {
-                if (job.spread) RC_ASSERT(count <= job.zone_cap());
+                if (job.spread) RC_ASSERT(count <= job.max_tasks_per_zone());
                 if (job.one_zone && count > 0) RC_ASSERT(count == zone_use.total);
             }
         }
@@ -150,8 +150,8 @@
     });
 }
 
-TEST(DrainPlanner, RevertedTrialsLeaveNoTrace) {
-    holds("take, give, revert", [] {
+TEST(DrainPlanner, RevertRestoresFreeCapacity) {
+    check_property("take, give, revert", [] {
         const Cluster cluster = test::draw_cluster();
         core::FreeCapacity capacity = cluster.free_capacity();
         std::vector<double> before;
@@ -193,7 +193,7 @@
     core::DrainResult plan() {
         core::Availability availability;
         availability.now = cluster_.now;
-        availability.silent_after = Micros{1'000'000'000};
+        availability.unresponsive_after = Micros{1'000'000'000};
         availability.draining = cordoned_;
         auto input = drain_input(cluster_);
         input.draining = cordoned_;
@@ -232,7 +232,7 @@
 };
 
 TEST(DrainPlanner, TimersAndCapsHold) {
-    holds("a walk through time", [] {
+    check_property("a walk through time", [] {
         DrainRun run;
         for (int step = 0; step < 12; ++step) run.step();
     });
@@ -252,7 +252,7 @@
     EXPECT_TRUE(state.candidate_since.empty());
 }
 
-TEST(DrainPlanner, ScalesInTheMostExpensiveOfEquals) {
+TEST(DrainPlanner, ScalesInTheMostExpensiveOfEquallyUsedMachines) {
     Cluster cluster;
     cluster.cluster_view.apply(test::heartbeat("n-1", "small", "a", true), cluster.now, cluster.now);
     cluster.cluster_view.apply(test::heartbeat("n-2", "small", "a", false), cluster.now, cluster.now);
@@ -280,10 +280,10 @@
 
 TEST(UnresponsiveMachines, FewAreReleasedAndManyAreKept) {
     const Micros limit{10'000'000};
-    std::vector<core::SilentMachine> machines;
+    std::vector<core::UnresponsiveMachine> machines;
     machines.reserve(40);
     for (int i = 0; i < 40; ++i) machines.push_back({"n-" + std::to_string(i), Micros{0}, true});
-    machines[0].silent_for = Micros{11'000'000};
+    machines[0].unresponsive_for = Micros{11'000'000};
     EXPECT_EQ(core::releasable(machines, limit, 0), std::vector<std::string>{"n-0"});
     machines[0].holds_tasks = false;
     EXPECT_TRUE(core::releasable(machines, limit, 0).empty()) << "an empty machine has a longer limit";
@@ -292,13 +292,13 @@
     // A zone is partitioned: its machines reach the limit one after the other, and none of them may be
     // released.
     for (std::size_t i = 1; i < 12; ++i)
-        machines[i].silent_for = Micros{6'000'000 + static_cast<std::int64_t>(i) * 100'000};
+        machines[i].unresponsive_for = Micros{6'000'000 + static_cast<std::int64_t>(i) * 100'000};
     EXPECT_TRUE(core::releasable(machines, limit, 0).empty());
 }
 
 // One short task needs only a small part of a machine's time. Without this rule it would wait for ever if
 // there is no machine that could run it.
-TEST(ScaleOutPlanner, ScalesOutForAShortQueueWhenNothingCouldRunIt) {
+TEST(ScaleOutPlanner, ScalesOutForAShortQueueWhenNoMachineCanRunIt) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 100, 100, 0, 0};
     auto job = test::job("req-1", "x", 1, 1);
@@ -310,7 +310,7 @@
     EXPECT_TRUE(core::plan_scale_out({}, input, cluster.free_capacity()).empty());
 }
 
-TEST(ScaleOutPlanner, ScalesOutForServicesLessWhatIsBooting) {
+TEST(ScaleOutPlanner, CountsBootingInstancesWhenScalingOutForServices) {
     Cluster cluster;
     cluster.teams["x"] = {"x", 100, 100, 0, 0};
     auto job = test::job("req-1", "x", 4, 2);
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using core::Micros;
-using test::holds;
+using test::check_property;
 
 constexpr Micros kStaleHeartbeatThreshold{26'000'000};
 
@@ -54,8 +54,8 @@
 
 // Heartbeats arrive late, by seconds to much more than a lease, and duplicated. Guards against a stale
 // heartbeat that replaces a newer one or makes a machine count as confirmed.
-TEST(StaleHeartbeats, ChangeNothingThatANewerOneSaid) {
-    holds("copies in any order", [] {
+TEST(StaleHeartbeats, NeverOverrideNewerOnes) {
+    check_property("copies in any order", [] {
         const auto history = draw_history("n-1");
         core::ClusterView cluster_view;
         std::size_t newest = 0;
@@ -83,8 +83,8 @@
                         core::view_attempt(cluster_view, task_status.job, task_status.task,
                                            {task_status.attempt, "n-1", heartbeat.incarnation});
                     const auto key = std::pair{task_status.job, task_status.attempt};
-                    if (attempt.status == core::AttemptStatus::gone) lost_attempts.insert(key);
-                    RC_ASSERT(!lost_attempts.contains(key) || attempt.status == core::AttemptStatus::gone);
+                    if (attempt.status == core::AttemptStatus::lost) lost_attempts.insert(key);
+                    RC_ASSERT(!lost_attempts.contains(key) || attempt.status == core::AttemptStatus::lost);
                     const auto* listed = machine->task(task_status.job, task_status.task);
                     RC_ASSERT(attempt.status != core::AttemptStatus::live ||
                               (listed != nullptr && listed->attempt == task_status.attempt));
@@ -126,7 +126,7 @@
     EXPECT_EQ(starts(), 1U);
 }
 
-TEST(StaleHeartbeats, MemoryOfReleasedMachinesIsBoundedAndWhatIsForgottenIsNotUsed) {
+TEST(StaleHeartbeats, ReleasedMachineListIsBoundedAndDroppedMachinesTakeNoTasks) {
     core::ClusterView cluster_view;
     const auto name = [](int i) { return "n-" + std::to_string(100000 + i); };
     const int max_entries = static_cast<int>(core::ReleasedMachines::kMaxEntries);
@@ -144,7 +144,7 @@
 
 // A fleet of 4,000 machines is replaced five times within minutes, and late heartbeats of all of them may
 // still arrive. Guards against a list that drops ids before the retention period is over.
-TEST(ReleasedMachines, AreKeptByTimeAndNotByNumber) {
+TEST(ReleasedMachines, AreRetainedByTimeInLargeFleets) {
     constexpr int kFleet = 4'000;
     constexpr int kFleets = 5;
     const auto name = [](int i) { return "n-" + std::to_string(100000 + i); };
@@ -157,8 +157,8 @@
     EXPECT_TRUE(released.contains("later"));
 }
 
-TEST(ReleasedMachines, ArePassedOnPieceByPieceAndOnce) {
-    holds("pieces", [] {
+TEST(ReleasedMachines, AreReportedInBatchesExactlyOnce) {
+    check_property("pieces", [] {
         core::ReleasedMachines released;
         std::vector<std::string> reported;
         std::uint64_t position = 0;
@@ -183,7 +183,7 @@
 // against a keep-alive that advances the heartbeat sequence past a task change that the controller has not
 // received.
 TEST(PeerMesh, KeepAlivesNeverHideAMissedChange) {
-    holds("lossy stream of whole and short reports", [] {
+    check_property("lossy stream of whole and short reports", [] {
         const auto history = draw_history("n-1");
         core::ClusterView source;
         core::ClusterView replica;
@@ -215,8 +215,8 @@
 }
 
 // Guards against requests that overtake earlier ones, and against bursts above the limit.
-TEST(TokenBucket, KeepsItsOrderAndItsRate) {
-    holds("arrivals at any times", [] {
+TEST(TokenBucket, GrantsInOrderWithinItsRate) {
+    check_property("arrivals at any times", [] {
         controller::TokenBucket bucket{10, 5};
         Micros now{1'000'000};
         std::vector<Micros> grant_times;
@@ -314,7 +314,7 @@
     void place() {
         core::PlacementInput input = test::placement_input(cluster_);
         input.reservations = reservations_;
-        input.most_stops = 0;
+        input.max_stops = 0;
         core::FreeCapacity capacity = cluster_.free_capacity();
         auto result = core::place(input, capacity);
         reservations_ = std::move(result.reservations);
@@ -370,8 +370,8 @@
 };
 
 // Guards against starvation: every job has to start within four minutes, during the overload and after it.
-TEST(Queue, UnderLastingOverloadEveryJobBeginsWithinABound) {
-    holds("begins within four minutes", [] {
+TEST(Queue, EveryJobStartsWithinABoundUnderSustainedOverload) {
+    check_property("begins within four minutes", [] {
         OverloadedCluster cluster;
         for (int second = 0; second < 420; ++second) cluster.step(second % 3 == 0 && second < 300);
     });
--- a/tests/scale_out_test.cpp
+++ b/tests/scale_out_test.cpp
@@ -90,7 +90,7 @@
     }
 
     std::size_t releasable_machine_count() const {
-        std::vector<core::SilentMachine> all;
+        std::vector<core::UnresponsiveMachine> all;
         for (const auto& [id, machine] : cluster.cluster_view.machines()) {
             const bool has_tasks = !cluster.job_table.on_machine(id).empty();
             all.push_back({id, at(now) - machine.last_heartbeat_at, has_tasks});
@@ -165,7 +165,7 @@
             return;
         }
         const bool exited = seen.status == core::AttemptStatus::exited;
-        if (!exited && seen.status != core::AttemptStatus::gone && !lease_expired) return;
+        if (!exited && seen.status != core::AttemptStatus::lost && !lease_expired) return;
         next.open.erase(task.task);
         if (!exited) return;
         if (seen.cause == core::ExitCause::done) next.done.insert(task.task);
@@ -174,13 +174,13 @@
     void place(const std::string& team) {
         core::Availability availability;
         availability.now = at(now);
-        availability.silent_after = Micros{1'000'000LL * (kHeartbeatSeconds + 2)};
+        availability.unresponsive_after = Micros{1'000'000LL * (kHeartbeatSeconds + 2)};
         auto capacity = cluster.free_capacity(&availability);
         core::PlacementInput input = test::placement_input(cluster);
         input.own_teams = {team};
         input.now = input.wall_clock_now = at(now);
-        input.most_starts = 1'000;
-        input.most_records = 1'000;
+        input.max_starts = 1'000;
+        input.max_records = 1'000;
         const auto result = core::place(input, capacity);
         std::map<std::string, core::Chunk> chunks;
         for (const auto& start : result.starts) {
@@ -259,7 +259,7 @@
     if (second == 64) fleet.set_partitioned("b", false);  // long after the leases have expired
 }
 
-TEST(FleetSize, APartitionedZoneAndHundredsOfRestartsBreakNoRuleAndLoseNothing) {
+TEST(FleetSize, PartitionedZoneAndMassRestartsViolateNoLimitAndLoseNoTask) {
     std::mt19937 random{20261};
     Fleet fleet{4'000};
     int jobs = 0;
