--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -2,8 +2,8 @@
 #include <random>
 
 #include "controller/controller.hpp"
-#include "site.hpp"
 #include "support.hpp"
+#include "test_deployment.hpp"
 #include "wire/records.hpp"
 
 namespace hatchwind {
@@ -13,12 +13,12 @@
 using io::Task;
 using wire::Json;
 
-using test::Site;
+using test::TestDeployment;
 
 TEST(Controller, RunsArraysAndServicesAndGangsAndKeepsFinalAnswers) {
-    Site site{2};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-2"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.submit("req-1", "x", "sweep", 7);
             co_await std::move(step);
@@ -43,11 +43,11 @@
             auto step = s.until_status("req-2", "running");
             co_await std::move(step);
         }
-        auto cancel = s.insist("POST", "/api/jobs/req-2/cancel", nullptr, {200});
+        auto cancel = s.retry_until("POST", "/api/jobs/req-2/cancel", nullptr, {200});
         const Json v = co_await std::move(cancel);
         EXPECT_EQ(v["status"], "cancelled");
         {
-            const std::function<bool()> reached = [&] { return s.world.running.empty(); };
+            const std::function<bool()> reached = [&] { return s.workload.running.empty(); };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
@@ -68,7 +68,7 @@
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        auto late = s.insist("POST", "/api/jobs/req-1/cancel", nullptr, {200});
+        auto late = s.retry_until("POST", "/api/jobs/req-1/cancel", nullptr, {200});
         const Json done = co_await std::move(late);
         EXPECT_EQ(done["status"], "done");
         {
@@ -80,13 +80,13 @@
             const auto r = co_await std::move(unknown);
             EXPECT_EQ(r.first, 404);
         }
-        EXPECT_LE(s.state.most_writes, 6U);
+        EXPECT_LE(s.state.max_transaction_writes, 6U);
     });
 }
 
 TEST(Controller, RefusesBadInputWithTheProperStatus) {
-    Site site{1};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.submit("req-1", "x", "sweep", 1);
             co_await std::move(step);
@@ -129,20 +129,20 @@
 // been recorded: users got it again in answers, and each group commit of that controller that named it
 // failed, for good.
 TEST(Controller, ALateAnswerToACancellationBringsNoJobBack) {
-    Site site{1};
-    site.world.endless = {"req-1"};
-    site.state.answer_after = [](const Json& t) {
+    TestDeployment site{1};
+    site.workload.endless_jobs = {"req-1"};
+    site.state.response_delay = [](const Json& t) {
         const bool cancellations = std::any_of(t["writes"].begin(), t["writes"].end(), [](const Json& w) {
             return w.contains("write") && w["write"] == "h/job/req-1" && w["v"].contains("cancelled");
         });
         return Micros{cancellations ? 1'500'000 : 0};
     };
-    site.play([](Site& s) -> Task<void> {
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run("req-1", "x", "service", 2);
             co_await std::move(step);
         }
-        auto cancel = s.insist("POST", "/api/jobs/req-1/cancel", nullptr, {200});
+        auto cancel = s.retry_until("POST", "/api/jobs/req-1/cancel", nullptr, {200});
         const Json v = co_await std::move(cancel);
         EXPECT_EQ(v["status"], "cancelled");
         EXPECT_TRUE(s.state.items.contains("f/req-1"));
@@ -158,35 +158,37 @@
 
 // Whatever made the replica wrong: a conflict that it cannot explain makes it reload the store.
 TEST(Controller, AReplicaThatTheStoreRefutesIsReloaded) {
-    Site site{1};
-    site.world.endless = {"req-1"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.workload.endless_jobs = {"req-1"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run("req-1", "x", "service", 2);
             co_await std::move(step);
         }
         // Somebody else's change, of which this controller never hears.
-        s.state.hidden = [](const Json& e) { return e.contains("delete") && e["delete"] == "h/job/req-1"; };
+        s.state.hidden_from_watches = [](const Json& e) {
+            return e.contains("delete") && e["delete"] == "h/job/req-1";
+        };
         const int gone =
-            s.state.late_commit({{"when", Json::array()}, {"writes", {{{"delete", "h/job/req-1"}}}}});
+            s.state.deliver_late_commit({{"when", Json::array()}, {"writes", {{{"delete", "h/job/req-1"}}}}});
         EXPECT_EQ(gone, 200);
         auto cancel = s.call(0, "POST", "/api/jobs/req-1/cancel", nullptr);
         co_await std::move(cancel);
         {
-            const std::function<bool()> reached = [&] { return s.world.running.empty(); };
+            const std::function<bool()> reached = [&] { return s.workload.running.empty(); };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        auto poll = s.insist("GET", "/api/jobs/req-1", nullptr, {200, 404});
+        auto poll = s.retry_until("GET", "/api/jobs/req-1", nullptr, {200, 404});
         const Json v = co_await std::move(poll);
         EXPECT_FALSE(v.contains("status"));
     });
 }
 
 TEST(Controller, AnotherControllerTakesOverWhenTheLeaderIsKilled) {
-    Site site{3};
-    site.world.run_time = Micros{1'500'000};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{3};
+    site.workload.run_time = Micros{1'500'000};
+    site.play([](TestDeployment& s) -> Task<void> {
         for (const auto& [id, team] : std::vector<std::pair<std::string, std::string>>{
                  {"req-1", "x"}, {"req-2", "y"}, {"req-3", "z"}}) {
             {
@@ -195,7 +197,7 @@
             }
         }
         {
-            const std::function<bool()> reached = [&] { return s.world.running.size() >= 6; };
+            const std::function<bool()> reached = [&] { return s.workload.running.size() >= 6; };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
@@ -213,7 +215,7 @@
             co_await std::move(step);
         }
         // Nothing that was done was thrown away by the takeover.
-        for (const auto& [task, n] : s.world.completed) EXPECT_EQ(n, 1) << task;
+        for (const auto& [task, n] : s.workload.completed) EXPECT_EQ(n, 1) << task;
         s.start(s.index(old));
         {
             auto step = s.run_until_done("req-4", "x", "sweep", 3);
@@ -223,9 +225,9 @@
 }
 
 TEST(Controller, AWholeRestartLosesNothingThatWasAccepted) {
-    Site site{2};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-2"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.submit("req-1", "x", "sweep", 5);
             co_await std::move(step);
@@ -236,12 +238,12 @@
         }
         {
             const std::function<bool()> reached = [&] {
-                return s.world.running.contains("req-2/0") && s.world.running.contains("req-2/1");
+                return s.workload.running.contains("req-2/0") && s.workload.running.contains("req-2/1");
             };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        const auto homes = s.world.running;
+        const auto homes = s.workload.running;
         s.kill(0);
         s.kill(1);
         co_await s.loop.sleep(Micros{300'000});
@@ -255,29 +257,29 @@
             auto step = s.until_status("req-2", "running");
             co_await std::move(step);
         }
-        EXPECT_EQ(s.world.running["req-2/0"], homes.at("req-2/0"))
+        EXPECT_EQ(s.workload.running["req-2/0"], homes.at("req-2/0"))
             << "a replica whose lease lasted stays where it is";
     });
 }
 
 TEST(Controller, TasksOfAnUnresponsiveMachineRunElsewhereOnlyAfterItsLease) {
-    Site site{2};
-    site.world.endless = {"req-1"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-1"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run("req-1", "x", "service", 2);
             co_await std::move(step);
         }
-        const std::string machine = s.world.running["req-1/0"];
-        s.cloud.workers.at(machine)->hung = true;
+        const std::string machine = s.workload.running["req-1/0"];
+        s.cloud.workers.at(machine)->suspended = true;
         co_await s.loop.sleep(Micros{1'500'000});
-        EXPECT_EQ(s.world.running["req-1/0"], machine) << "well within its lease";
+        EXPECT_EQ(s.workload.running["req-1/0"], machine) << "well within its lease";
         // The hung machine resumes at the end of its lease and finds it over.
         co_await s.loop.sleep(Micros{1'700'000});
-        s.cloud.workers.at(machine)->hung = false;
+        s.cloud.workers.at(machine)->suspended = false;
         {
             const std::function<bool()> reached = [&] {
-                return s.world.running.contains("req-1/0") && s.world.running.contains("req-1/1");
+                return s.workload.running.contains("req-1/0") && s.workload.running.contains("req-1/1");
             };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
@@ -288,43 +290,43 @@
 // A machine that never comes back, and that nobody releases since too many are unresponsive: its last
 // heartbeat says that the task runs, and its lease alone shows that it does not.
 TEST(Controller, TasksOfAMachineThatStaysUnresponsiveRunElsewhereAfterItsLease) {
-    Site site{2};
-    site.world.endless = {"req-1"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-1"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run("req-1", "x", "service", 1);
             co_await std::move(step);
         }
         co_await s.loop.sleep(Micros{300'000});  // and it was reported
-        const std::string machine = s.world.running["req-1/0"];
-        s.cloud.workers.at(machine)->hung = true;
+        const std::string machine = s.workload.running["req-1/0"];
+        s.cloud.workers.at(machine)->suspended = true;
         // Its lease ends on its side while it hangs; the stand-in counts what hangs as running until then.
         co_await s.loop.sleep(Micros{3'100'000});
-        s.world.running.erase("req-1/0");
+        s.workload.running.erase("req-1/0");
         {
-            const std::function<bool()> reached = [&] { return s.world.running.contains("req-1/0"); };
+            const std::function<bool()> reached = [&] { return s.workload.running.contains("req-1/0"); };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        EXPECT_NE(s.world.running["req-1/0"], machine);
+        EXPECT_NE(s.workload.running["req-1/0"], machine);
         EXPECT_TRUE(s.cloud.workers.contains(machine));
-        s.world.running.erase("req-1/0");
+        s.workload.running.erase("req-1/0");
     });
 }
 
 TEST(Controller, AnOutageOfTheStoreStopsNothingThatRuns) {
-    Site site{2};
-    site.world.endless = {"req-1"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-1"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run("req-1", "x", "service", 2);
             co_await std::move(step);
         }
-        const auto homes = s.world.running;
+        const auto homes = s.workload.running;
         s.state.down = true;
         // Longer than store leases and worker leases: only the controllers' votes for each other carry it.
         co_await s.loop.sleep(Micros{5'000'000});
-        EXPECT_EQ(s.world.running, homes);
+        EXPECT_EQ(s.workload.running, homes);
         auto refused = s.call(0, "POST", "/api/jobs/req-1/cancel", nullptr);
         const auto r = co_await std::move(refused);
         EXPECT_EQ(r.first, 503);
@@ -333,16 +335,16 @@
             auto step = s.run_until_done("req-2", "y", "sweep", 2);
             co_await std::move(step);
         }
-        EXPECT_EQ(s.world.running, homes);
+        EXPECT_EQ(s.workload.running, homes);
     });
 }
 
 // After a cut a link may take every byte and deliver none. A peer that takes all and never says that it
 // hears us must be dialled anew.
 TEST(Controller, AnUnconfirmedPeerConnectionIsReplaced) {
-    Site site{2};
+    TestDeployment site{2};
     site.kill(1);
-    site.play([](Site& s) -> Task<void> {
+    site.play([](TestDeployment& s) -> Task<void> {
         io::Listener peer{s.loop, s.mesh_address(1)};
         std::vector<io::Socket> taken;
         for (int i = 0; i < 2; ++i) {
@@ -354,46 +356,46 @@
 }
 
 TEST(Controller, ACommitWithoutAnAnswerIsResolvedByRetryingIt) {
-    Site site{1};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.submit("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         for (int i = 2; i < 6; ++i) {
-            s.state.drop_next_commit_answer = true;
+            s.state.drop_next_commit_response = true;
             {
                 auto step = s.submit("req-" + std::to_string(i), "x", "sweep", 2);
                 co_await std::move(step);
             }
-            s.state.drop_next_commit_answer = true;
+            s.state.drop_next_commit_response = true;
             {
                 auto step = s.until_status("req-" + std::to_string(i), "done");
                 co_await std::move(step);
             }
         }
-        for (const auto& [task, n] : s.world.completed) EXPECT_EQ(n, 1) << task;
+        for (const auto& [task, n] : s.workload.completed) EXPECT_EQ(n, 1) << task;
     });
 }
 
 // A machine whose heartbeats arrive, but that hears nothing: its lease expires on its own side, its
 // incarnation rises, its heartbeats go on. Its tasks run elsewhere, it gets nothing new, and it is released.
 TEST(Controller, AOneWayPartitionedMachineLosesItsTasksGetsNoneAndIsReleased) {
-    Site site{2};
+    TestDeployment site{2};
     site.kill(0);
     site.kill(1);
     site.silent_release = Micros{4'000'000};
     site.start(0);
     site.start(1);
-    site.world.endless = {"req-1"};
-    site.play([](Site& s) -> Task<void> {
+    site.workload.endless_jobs = {"req-1"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run("req-1", "x", "service", 2);
             co_await std::move(step);
         }
-        const std::string machine = s.world.running["req-1/0"];
+        const std::string machine = s.workload.running["req-1/0"];
         const auto incarnation = s.cloud.workers.at(machine)->incarnation();
-        s.cloud.workers.at(machine)->deaf = true;
+        s.cloud.workers.at(machine)->unreachable = true;
         {
             // Either its session has risen, or it was released before that.
             const std::function<bool()> reached = [&] {
@@ -405,8 +407,8 @@
         }
         {
             const std::function<bool()> reached = [&] {
-                return s.world.running.contains("req-1/0") && s.world.running.contains("req-1/1") &&
-                       s.world.running["req-1/0"] != machine && s.world.running["req-1/1"] != machine;
+                return s.workload.running.contains("req-1/0") && s.workload.running.contains("req-1/1") &&
+                       s.workload.running["req-1/0"] != machine && s.workload.running["req-1/1"] != machine;
             };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
@@ -421,10 +423,10 @@
 
 // Dozens of dead machines took all the turns of asking, and live ones behind them stayed unused for good.
 TEST(Controller, ALiveMachineIsConfirmedBesideManyDeadOnes) {
-    Site site{1};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.play([](TestDeployment& s) -> Task<void> {
         // They send one heartbeat, with an address at which nobody answers.
-        const io::Address nobody = test::local(test::free_port());
+        const io::Address nobody = test::loopback_address(test::free_port());
         std::size_t asked = 0;
         io::HttpServer dead{s.loop, nobody, {}, [&](io::HttpRequest) -> Task<io::HttpResponse> {
                                 ++asked;
@@ -435,7 +437,7 @@
         scope.spawn(dead.serve());
         for (int i = 0; i < 1200; ++i) {
             const Json report{{"perch", "a-" + std::to_string(1000 + i)},
-                              {"address", test::text_of(nobody)},
+                              {"address", test::address_text(nobody)},
                               {"build", "c4"},
                               {"roost", "a"},
                               {"borrowed", false},
@@ -444,7 +446,7 @@
                               {"baton", 0},
                               {"warningS", nullptr},
                               {"legs", Json::array()}};
-            auto step = s.insist("POST", "/hello", report, {200});
+            auto step = s.retry_until("POST", "/hello", report, {200});
             co_await std::move(step);
         }
         // By then no heartbeat shows by its fencing token alone that it is new.
@@ -461,16 +463,16 @@
 // Workers stay where they are answered: after a restart one controller bore the whole fleet's heartbeats for
 // good.
 TEST(Controller, HeartbeatsSpreadOverTheControllers) {
-    Site site{3};
-    site.play([](Site& s) -> Task<void> {
-        std::vector<std::unique_ptr<test::WorkerStandIn>> workers;
+    TestDeployment site{3};
+    site.play([](TestDeployment& s) -> Task<void> {
+        std::vector<std::unique_ptr<test::FakeWorker>> workers;
         workers.reserve(24);
         for (int i = 0; i < 24; ++i)
             workers.push_back(
                 s.worker("w-" + std::to_string(100 + i)));  // all begin with the first controller
         const std::function<bool()> spread = [&] {
             std::map<std::size_t, int> at;
-            for (const auto& w : workers) ++at[w->home()];
+            for (const auto& w : workers) ++at[w->current_controller()];
             return at.size() == 3 &&
                    std::all_of(at.begin(), at.end(), [](const auto& n) { return n.second >= 4; });
         };
@@ -481,15 +483,15 @@
 
 // Stale heartbeats reach a controller that has just started, and one that leads anew.
 TEST(Controller, StaleHeartbeatsBringBackNothing) {
-    Site site{2};
-    site.world.endless = {"req-1"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-1"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run("req-1", "x", "service", 1);
             co_await std::move(step);
         }
-        const std::string machine = s.world.running["req-1/0"];
-        const Json early = s.cloud.workers.at(machine)->last_report;
+        const std::string machine = s.workload.running["req-1/0"];
+        const Json early = s.cloud.workers.at(machine)->last_heartbeat;
         // Of a machine that was released long ago and that no controller remembers, with a task said to be
         // done.
         Json dead = early;
@@ -526,7 +528,7 @@
             co_await std::move(step);
         }
         EXPECT_FALSE(used) << "a machine that only stale heartbeats name was used";
-        EXPECT_EQ(s.world.running["req-1/0"], machine);
+        EXPECT_EQ(s.workload.running["req-1/0"], machine);
         auto step = s.until_status("req-1", "running");
         co_await std::move(step);
         s.state.on_commit = nullptr;
@@ -536,47 +538,47 @@
 // A start that got no answer, was repeated and carried out, may arrive once more: after its exit was
 // acknowledged it would start the task again.
 TEST(Controller, ADuplicateStartThatArrivesAfterTheExitStartsNothing) {
-    Site site{1};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
-        for (auto& [id, w] : s.cloud.workers) w->hold_orders = true;
+        for (auto& [id, w] : s.cloud.workers) w->hold_commands = true;
         {
             auto step = s.submit("req-2", "x", "sweep", 2);
             co_await std::move(step);
         }
         {
-            const std::function<bool()> reached = [&] { return s.held_orders() > 0; };
+            const std::function<bool()> reached = [&] { return s.held_command_requests() > 0; };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
         co_await s.loop.sleep(
             Micros{2'800'000});  // the controller gives up on that request, and sends another
-        for (auto& [id, w] : s.cloud.workers) w->hold_orders = false;
+        for (auto& [id, w] : s.cloud.workers) w->hold_commands = false;
         {
             auto step = s.until_status("req-2", "done");
             co_await std::move(step);
         }
         co_await s.loop.sleep(Micros{2'500'000});  // reaps and sweeps have had their time
-        s.deliver_held_orders();
+        s.deliver_held_commands();
         co_await s.loop.sleep(Micros{600'000});
-        EXPECT_GT(s.held_orders(), 0U);
-        EXPECT_EQ(s.world.completed["req-2/0"], 1);
-        EXPECT_EQ(s.world.completed["req-2/1"], 1);
+        EXPECT_GT(s.held_command_requests(), 0U);
+        EXPECT_EQ(s.workload.completed["req-2/0"], 1);
+        EXPECT_EQ(s.workload.completed["req-2/1"], 1);
     });
 }
 
 // The controller hears workers only. It stops answering when its leadership lease ends, its teams get another
 // shard owner, its workers move on within their leases, and it comes back without help.
 TEST(Controller, AControllerThatReachesOnlyItsWorkersStopsAnsweringAndRecovers) {
-    Site site{3, 0};
-    site.world.lease_s = 6;
+    TestDeployment site{3, 0};
+    site.workload.lease_s = 6;
     site.kill(1);  // the relayed controller leads
     site.kill(2);
-    site.world.endless = {"req-1", "req-2", "req-3"};
-    site.play([](Site& s) -> Task<void> {
+    site.workload.endless_jobs = {"req-1", "req-2", "req-3"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             const std::function<bool()> reached = [&] { return s.leader() == "n0"; };
             auto waiting = s.until(reached);
@@ -590,26 +592,26 @@
             co_await std::move(step);
         }
         {
-            const std::function<bool()> reached = [&] { return s.world.running.size() == 6; };
+            const std::function<bool()> reached = [&] { return s.workload.running.size() == 6; };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        const auto homes = s.world.running;
+        const auto homes = s.workload.running;
         std::map<std::string, std::uint64_t> incarnations;
         for (const auto& [id, w] : s.cloud.workers) incarnations[id] = w->incarnation();
-        s.cut_off(true);
+        s.isolate(true);
         {
             const std::function<bool()> reached = [&] { return s.leader() != "n0"; };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
         // By then it must not answer: a worker that comes to it is redirected.
-        auto hello = s.call(0, "POST", "/hello", s.cloud.workers.begin()->second->last_report);
+        auto hello = s.call(0, "POST", "/hello", s.cloud.workers.begin()->second->last_heartbeat);
         const auto answer = co_await std::move(hello);
         EXPECT_EQ(answer.first, 421);
         // Longer than a lease: whoever kept its worker had to hear from a controller that may act.
         co_await s.loop.sleep(Micros{8'000'000});
-        EXPECT_EQ(s.world.running, homes);
+        EXPECT_EQ(s.workload.running, homes);
         // Nor may it be sent users, whom it can only refuse.
         auto probe = s.call(0, "GET", "/healthz", nullptr);
         const auto health = co_await std::move(probe);
@@ -619,7 +621,7 @@
             auto step = s.run_until_done("req-4", "x", "sweep", 2);
             co_await std::move(step);
         }
-        s.cut_off(false);
+        s.isolate(false);
         {
             const std::function<bool()> reached = [&] {
                 const auto& members = s.state.items.at("h/epoch").value["members"];
@@ -628,16 +630,16 @@
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        EXPECT_EQ(s.world.running, homes);
+        EXPECT_EQ(s.workload.running, homes);
     });
 }
 
 // Controllers crash and restart at once, one, some or all of them, also while an epoch is being written.
 TEST(Controller, ControllersThatRestartAtOnceLoseNothingAndForgetNothing) {
-    Site site{3};
-    site.world.endless = {"req-1"};
-    site.world.run_time = Micros{700'000};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{3};
+    site.workload.endless_jobs = {"req-1"};
+    site.workload.run_time = Micros{700'000};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.submit("req-1", "x", "service", 3);
             co_await std::move(step);
@@ -672,8 +674,8 @@
 // The first incarnation's write of its own key comes again, late: with it the key would belong to a store
 // lease that nobody renews, and vanish under a controller that acts.
 TEST(Controller, ALateWriteOfAnEarlierIncarnationsKeyChangesNothing) {
-    Site site{1};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.play([](TestDeployment& s) -> Task<void> {
         std::vector<Json> puts;
         s.state.on_commit = [&puts](const Json& t) {
             for (const auto& w : t["writes"]) {
@@ -698,7 +700,7 @@
         co_await s.loop.sleep(Micros{50'000});
         const auto store_lease = s.state.items.at("h/node/n0").value["grant"];
         s.state.on_commit = nullptr;
-        EXPECT_EQ(s.state.late_commit(puts.front()), 409);
+        EXPECT_EQ(s.state.deliver_late_commit(puts.front()), 409);
         EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], store_lease);
         co_await s.loop.sleep(Micros{2'000'000});  // the first incarnation's store lease is long over
         EXPECT_EQ(s.state.items.at("h/node/n0").value["grant"], store_lease);
@@ -706,7 +708,7 @@
 }
 
 // The controller answers about the job, perhaps after a while, and never that it does not know it.
-Task<void> expect_cancelled(Site& site, std::size_t controller, std::string job) {
+Task<void> expect_cancelled(TestDeployment& site, std::size_t controller, std::string job) {
     int status = 0;
     Json answer;
     const Micros give_up = io::steady_now() + Micros{20'000'000};
@@ -724,8 +726,8 @@
 
 // Thousands of jobs, and a watch that is too old: every controller reads the store whole again, and answers.
 TEST(Controller, EveryJobIsKnownOnEveryControllerAfterAReloadOfALargeStore) {
-    Site site{2};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
@@ -749,7 +751,7 @@
                 // One more was accepted, and the change that says so is not kept any more.
                 s.state.items["h/job/req-" + std::to_string(1000 + jobs)] = {
                     s.state.items.at("h/job/req-1000").value, ++s.state.revision, 0};
-                s.state.oldest = s.state.revision;
+                s.state.compacted_revision = s.state.revision;
             }
             for (const std::size_t node : {0U, 1U}) {
                 for (const int i : {0, jobs / 2, jobs - 1 + round}) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -80,7 +80,7 @@
     EXPECT_EQ(s.objectives[0].job_class, "c");
     EXPECT_EQ(s.objectives[0].within_s, 2.0);
     EXPECT_EQ(s.objectives[0].share, 0.9);
-    EXPECT_EQ(s.objectives[1].times, 1.5);
+    EXPECT_EQ(s.objectives[1].deadline_multiple, 1.5);
     EXPECT_EQ(s.report_s, 1.0);
     EXPECT_EQ(s.lease_s, 10.0);
     EXPECT_EQ(s.gang_wait_s, 10.0);
@@ -208,7 +208,7 @@
 }
 
 TEST(Properties, GeneratedPairsComeBack) {
-    test::holds("write, then read", [] {
+    test::check_property("write, then read", [] {
         const auto word = rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::inRange('a', 'z')));
         const auto pairs = *rc::gen::container<std::map<std::string, std::string>>(word, word);
         std::string text;
@@ -220,7 +220,7 @@
         }
         RC_ASSERT(controller::parse_properties(text) == pairs);
     });
-    test::holds("any text ends in values or in one error", [](const std::string& text) {
+    test::check_property("any text ends in values or in one error", [](const std::string& text) {
         try {
             (void)controller::parse_properties(text);
         } catch (const SettingsError&) {
@@ -271,7 +271,7 @@
     const auto tunables =
         controller::parse_tunables({{"drain.unneeded_seconds", "1.5"}, {"fleet.rent_per_round", "7.9"}}, s);
     EXPECT_EQ(tunables.drain.unneeded, core::Micros{1'500'000});
-    EXPECT_EQ(tunables.fleet.most_per_round, 7U);
+    EXPECT_EQ(tunables.fleet.max_instances_per_round, 7U);
     EXPECT_EQ(tunables.silent_release, core::Micros{10'000'000});
 }
 
--- a/tests/start_fence_test.cpp
+++ b/tests/start_fence_test.cpp
@@ -17,8 +17,8 @@
 
 #include "cluster/peer_directory.hpp"
 #include "scenario_run.hpp"
-#include "site.hpp"
 #include "support.hpp"
+#include "test_deployment.hpp"
 
 namespace hatchwind {
 namespace {
@@ -27,14 +27,14 @@
 using controller::StartHolds;
 using io::Micros;
 using io::Task;
-using test::Site;
+using test::TestDeployment;
 using wire::Json;
 
 constexpr const char* kJob = "req-7";
 
 // Compares StartHolds with a simple model: a job is held until kHoldTime after its last request.
 TEST(StartHolds, LastUntilTheyExpireInAnySequence) {
-    test::holds("holds", [] {
+    test::check_property("holds", [] {
         StartHolds holds;
         std::map<std::string, Micros> model;
         Micros now{1'000'000};
@@ -91,7 +91,7 @@
     static controller::Settings settings_of_n0() {
         controller::Settings settings;
         settings.label = "n0";
-        settings.peers.push_back({"n1", "a", test::local(1)});
+        settings.peers.push_back({"n1", "a", test::loopback_address(1)});
         settings.memory_mb = 64;
         settings.report_s = 1;
         settings.lease_s = 10;
@@ -125,7 +125,7 @@
     }
     std::vector<wire::PeerMessage> sent() {
         wire::FrameReader reader;
-        reader.add(links.at("n1").out);
+        reader.add(links.at("n1").queued_frames);
         std::vector<wire::PeerMessage> messages;
         while (auto message = reader.next()) messages.push_back(std::move(*message));
         return messages;
@@ -152,20 +152,20 @@
 constexpr Micros kShortWait{50'000};
 constexpr Micros kCancelAnswerTimeout{5'000'000};  // how long a user waits for the answer to a cancel
 
-TEST(StartFence, AsksNobodyThatDoesNotAnnounceTheRequest) {
+TEST(StartFence, SendsNoRequestToAPeerThatDoesNotAnnounceIt) {
     Harness harness;
-    harness.peer_announces(core::kCapabilities & ~core::kHoldsStarts);
+    harness.peer_announces(core::kCapabilities & ~core::kSupportsStartHolds);
     EXPECT_FALSE(harness.run_fence("y", kShortWait, [] {}));
-    EXPECT_TRUE(harness.links.at("n1").out.empty());
+    EXPECT_TRUE(harness.links.at("n1").queued_frames.empty());
 }
 
 // Capabilities that were announced on an earlier connection may be those of another version.
-TEST(StartFence, AsksNobodyThatWasNotHeardOnThePresentConnection) {
+TEST(StartFence, SendsNoRequestBeforeAHeartbeatOnTheCurrentConnection) {
     Harness harness;
     harness.peer_announces(core::kCapabilities);
     harness.links.at("n1").connected_at = io::steady_now() + Micros{1};
     EXPECT_FALSE(harness.run_fence("y", kShortWait, [] {}));
-    EXPECT_TRUE(harness.links.at("n1").out.empty());
+    EXPECT_TRUE(harness.links.at("n1").queued_frames.empty());
 }
 
 TEST(StartFence, WaitsForTheShardOwnersAcknowledgement) {
@@ -184,7 +184,7 @@
     EXPECT_TRUE(harness.run_fence("y", StartFence::kMaxWait, acknowledge));
 }
 
-TEST(StartFence, AShardOwnerThatDoesNotAnswerDelaysACancelByABoundOnly) {
+TEST(StartFence, AnUnresponsiveShardOwnerDelaysACancelForABoundedTime) {
     Harness harness;
     harness.peer_announces(core::kCapabilities);
     EXPECT_FALSE(harness.run_fence("y", kShortWait, [] {}));
@@ -193,7 +193,7 @@
     EXPECT_FALSE(harness.run_fence("y", kShortWait, [] {}));
 }
 
-TEST(StartFence, ATeamThatNobodyOwnsIsNotWaitedFor) {
+TEST(StartFence, FailsAtOnceForATeamWithoutShardOwner) {
     Harness harness;
     EXPECT_FALSE(harness.run_fence("z", StartFence::kMaxWait, [] {}));
 }
@@ -211,16 +211,16 @@
     EXPECT_FALSE(harness.holds.holds(kJob, io::steady_now() + StartHolds::kHoldTime));
 }
 
-Task<void> bring_machines_up(Site& s) {
+Task<void> bring_machines_up(TestDeployment& s) {
     auto step = s.run_until_done("req-1", "x", "sweep", 8);
     co_await std::move(step);
 }
 
-void set_order_latency(Site& s, Micros latency) {
-    for (auto& [id, worker] : s.cloud.workers) worker->order_latency = latency;
+void set_order_latency(TestDeployment& s, Micros latency) {
+    for (auto& [id, worker] : s.cloud.workers) worker->command_latency = latency;
 }
 
-bool attempt_recorded(const Site& s, const std::string& job) {
+bool attempt_recorded(const TestDeployment& s, const std::string& job) {
     return std::any_of(s.state.items.begin(), s.state.items.end(), [&](const auto& item) {
         return item.first.starts_with("h/run/") &&
                item.second.value["c"].dump().find(job + "/") != std::string::npos;
@@ -229,7 +229,8 @@
 
 // Submits an endless job and cancels it through controller `node` as soon as its start is recorded. Returns
 // how often its task started after the answer.
-Task<int> starts_after_cancel(Site& s, std::string id, std::string team, std::string form, std::size_t node) {
+Task<int> starts_after_cancel(TestDeployment& s, std::string id, std::string team, std::string form,
+                              std::size_t node) {
     {
         auto step = s.submit(id, std::move(team), std::move(form), 1);
         co_await std::move(step);
@@ -243,18 +244,18 @@
     const auto answer = co_await std::move(cancel);
     EXPECT_EQ(answer.first, 200);
     EXPECT_EQ(answer.second.value("status", ""), "cancelled");
-    const int before = s.world.started[id + "/0"];
+    const int before = s.workload.started[id + "/0"];
     co_await s.loop.sleep(Micros{600'000});
-    co_return s.world.started[id + "/0"] - before;
+    co_return s.workload.started[id + "/0"] - before;
 }
 
 // Workers take 200 ms to carry out commands. Each controller cancels a job of each team, which covers every
 // pair of committing controller and shard owner. The jobs alternate between arrays, services and gangs.
-TEST(StartFence, AStartInFlightIsOverBeforeAnyControllerSaysCancelled) {
-    Site site{3};
-    site.world.endless = {"req-10", "req-11", "req-12", "req-20", "req-21",
-                          "req-22", "req-30", "req-31", "req-32"};
-    site.play([](Site& s) -> Task<void> {
+TEST(StartFence, WaitsForStartsInFlightBeforeACancelIsConfirmed) {
+    TestDeployment site{3};
+    site.workload.endless_jobs = {"req-10", "req-11", "req-12", "req-20", "req-21",
+                                  "req-22", "req-30", "req-31", "req-32"};
+    site.play([](TestDeployment& s) -> Task<void> {
         auto up = bring_machines_up(s);
         co_await std::move(up);
         set_order_latency(s, Micros{200'000});
@@ -274,10 +275,10 @@
 
 // The commit of the cancel is conditional on the epoch under which the job was fenced, because the shard
 // owner of the next epoch has not held the job.
-TEST(StartFence, ANewEpochBetweenHoldAndCommitFencesTheJobAnew) {
-    Site site{2};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+TEST(StartFence, ANewEpochBetweenHoldAndCommitFencesTheJobAgain) {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-2"};
+    site.play([](TestDeployment& s) -> Task<void> {
         auto up = bring_machines_up(s);
         co_await std::move(up);
         {
@@ -285,36 +286,37 @@
             co_await std::move(step);
         }
         int commits = 0;
-        s.state.treat = [&](const Json& transaction) {
+        s.state.commit_handling = [&](const Json& transaction) {
             const bool cancels = transaction["writes"].dump().find("\"cancelled\"") != std::string::npos &&
                                  transaction["writes"].dump().find("h/job/req-2") != std::string::npos;
-            if (!cancels) return test::StateStandIn::Treatment::carry_out;
+            if (!cancels) return test::FakeStore::CommitHandling::apply;
             EXPECT_NE(transaction["when"].dump().find("h/epoch"), std::string::npos);
             if (++commits == 1) {
                 Json epoch = s.state.items.at("h/epoch").value;
                 epoch["number"] = epoch["number"].get<std::uint64_t>() + 1;
-                s.state.late_commit({{"when", Json::array()},
-                                     {"writes", Json::array({Json{{"write", "h/epoch"}, {"v", epoch}}})}});
+                s.state.deliver_late_commit(
+                    {{"when", Json::array()},
+                     {"writes", Json::array({Json{{"write", "h/epoch"}, {"v", epoch}}})}});
             }
-            return test::StateStandIn::Treatment::carry_out;
+            return test::FakeStore::CommitHandling::apply;
         };
-        auto cancel = s.insist("POST", "/api/jobs/req-2/cancel", nullptr, {200});
+        auto cancel = s.retry_until("POST", "/api/jobs/req-2/cancel", nullptr, {200});
         const Json answer = co_await std::move(cancel);
         EXPECT_EQ(answer["status"], "cancelled");
         EXPECT_GE(commits, 2);
-        s.state.treat = nullptr;
+        s.state.commit_handling = nullptr;
     });
 }
 
 // Even if a worker answers no commands or the shard owner has crashed, the user gets an answer within the 5 s
 // of the protocol.
-TEST(StartFence, AnUnreachableWorkerOrShardOwnerDelaysTheAnswerByABoundOnly) {
-    Site site{3};
-    site.world.endless = {"req-2", "req-3"};
-    site.play([](Site& s) -> Task<void> {
+TEST(StartFence, AnUnreachableWorkerOrShardOwnerDelaysTheAnswerForABoundedTime) {
+    TestDeployment site{3};
+    site.workload.endless_jobs = {"req-2", "req-3"};
+    site.play([](TestDeployment& s) -> Task<void> {
         auto up = bring_machines_up(s);
         co_await std::move(up);
-        for (auto& [id, worker] : s.cloud.workers) worker->hold_orders = true;
+        for (auto& [id, worker] : s.cloud.workers) worker->hold_commands = true;
         for (const char* id : {"req-2", "req-3"}) {
             auto step = s.submit(id, "x", "sweep", 1);
             co_await std::move(step);
@@ -335,26 +337,26 @@
             EXPECT_LT(io::steady_now() - asked, kCancelAnswerTimeout);
             if (s.up(s.index(owner))) s.kill(s.index(owner));
         }
-        for (auto& [id, worker] : s.cloud.workers) worker->hold_orders = false;
+        for (auto& [id, worker] : s.cloud.workers) worker->hold_commands = false;
     });
 }
 
 // If every commit of the cancel is refused and the user gives up, the job continues once the hold has
 // expired.
-TEST(StartFence, AJobWhoseCancelIsNeverCommittedRunsOn) {
-    Site site{1};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+TEST(StartFence, AJobWhoseCancelIsNeverCommittedContinues) {
+    TestDeployment site{1};
+    site.workload.endless_jobs = {"req-2"};
+    site.play([](TestDeployment& s) -> Task<void> {
         auto up = bring_machines_up(s);
         co_await std::move(up);
         bool refuse_starts = true;
-        s.state.treat = [&](const Json& transaction) {
+        s.state.commit_handling = [&](const Json& transaction) {
             const std::string writes = transaction["writes"].dump();
             const bool starts = writes.find("req-2/0") != std::string::npos && refuse_starts;
             const bool cancels = writes.find("h/job/req-2") != std::string::npos &&
                                  writes.find("\"cancelled\"") != std::string::npos;
-            return starts || cancels ? test::StateStandIn::Treatment::refuse
-                                     : test::StateStandIn::Treatment::carry_out;
+            return starts || cancels ? test::FakeStore::CommitHandling::refuse
+                                     : test::FakeStore::CommitHandling::apply;
         };
         {
             auto step = s.submit("req-2", "x", "sweep", 1);
@@ -365,10 +367,10 @@
         EXPECT_EQ(answer.first, 503);
         const Micros held_at = io::steady_now();
         refuse_starts = false;
-        auto waiting = s.until([&s] { return s.world.running.contains("req-2/0"); });
+        auto waiting = s.until([&s] { return s.workload.running.contains("req-2/0"); });
         co_await std::move(waiting);
         EXPECT_GT(io::steady_now() - held_at, StartHolds::kHoldTime / 2);
-        s.state.treat = nullptr;
+        s.state.commit_handling = nullptr;
     });
 }
 
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -19,7 +19,7 @@
 /// Checks a RapidCheck property within a GoogleTest case. The seed comes from RC_PARAMS, which makes runs
 /// reproducible.
 template <typename Property>
-void holds(const std::string& description, Property&& property) {
+void check_property(const std::string& description, Property&& property) {
     EXPECT_TRUE(rc::check(description, std::forward<Property>(property)));
 }
 
@@ -97,7 +97,7 @@
     core::FreeCapacity free_capacity(const core::Availability* availability = nullptr) const {
         core::Availability default_availability;
         default_availability.now = now;
-        default_availability.silent_after = core::Micros{10'000'000};
+        default_availability.unresponsive_after = core::Micros{10'000'000};
         return core::FreeCapacity::build(cluster_view, job_table, types,
                                          availability == nullptr ? default_availability : *availability);
     }
--- a/tests/site.hpp
+++ b/tests/test_deployment.hpp
@@ -9,27 +9,27 @@
 #include <cstdlib>
 
 #include "controller/controller.hpp"
-#include "stand_ins.hpp"
+#include "fake_services.hpp"
 
 namespace hatchwind::test {
 
 using io::Micros;
 using io::Task;
 
-class Site {
+class TestDeployment {
   public:
     // `relayed_node`: index of a node that reaches the store and its peers only through relays, so that
-    // cut_off() can partition it; -1: none.
-    explicit Site(int nodes, int relayed_node = -1)
+    // isolate() can partition it; -1: none.
+    explicit TestDeployment(int nodes, int relayed_node = -1)
         : state(loop), cloud(loop, [this](std::string id, std::string zone) {
-              return std::make_unique<WorkerStandIn>(loop, world, std::move(id), std::move(zone), addresses_,
-                                                     labels_);
+              return std::make_unique<FakeWorker>(loop, workload, std::move(id), std::move(zone), addresses_,
+                                                  labels_);
           }) {
         spdlog::set_level(std::getenv("TEST_LOG") != nullptr ? spdlog::level::debug : spdlog::level::off);
         for (int i = 0; i < nodes; ++i) {
             labels_.push_back("n" + std::to_string(i));
-            addresses_.push_back(local(free_port()));
-            peer_mesh_.push_back(local(free_port()));
+            addresses_.push_back(loopback_address(free_port()));
+            peer_mesh_.push_back(loopback_address(free_port()));
         }
         if (relayed_node >= 0) {
             relayed_node_ = static_cast<std::size_t>(relayed_node);
@@ -58,7 +58,7 @@
         settings.state = node == relayed_node_ ? state_relay_->address : state.address;
         for (const char* team : {"x", "y", "z"}) settings.teams[team] = {team, 8, 16, 0, 0};
         settings.report_s = 0.1;
-        settings.lease_s = world.lease_s;
+        settings.lease_s = workload.lease_s;
         settings.cancel_s = cancel_s;
         settings.state_rps = 2000;
         settings.state_write_rps = 500;
@@ -69,7 +69,7 @@
         settings.memory_mb = 256;
         settings.max_connections = 1000;
         settings.skew_ms = 5;
-        if (adjust) adjust(settings);
+        if (adjust_settings) adjust_settings(settings);
         controller::Tunables tunables = controller::parse_tunables({}, settings);
         tunables.store_lease_ttl = Micros{1'200'000};
         tunables.store_lease_renewal_interval = Micros{250'000};
@@ -80,15 +80,15 @@
     }
     void kill(std::size_t node) { controllers_[node].reset(); }
     // Partitions the relayed node from the store, or ends the partition.
-    void cut_store(bool on) { state_relay_->blocked = on; }
+    void block_store(bool on) { state_relay_->blocked = on; }
     // Partitions the relayed node from the store and the other nodes, but not from the workers, or ends the
     // partition.
-    void cut_off(bool on) {
+    void isolate(bool on) {
         state_relay_->blocked = on;
         for (auto& relay : peer_relays_) relay->blocked = on;
     }
-    std::unique_ptr<WorkerStandIn> worker(std::string id) {
-        return std::make_unique<WorkerStandIn>(loop, world, std::move(id), "a", addresses_, labels_);
+    std::unique_ptr<FakeWorker> worker(std::string id) {
+        return std::make_unique<FakeWorker>(loop, workload, std::move(id), "a", addresses_, labels_);
     }
     const std::vector<std::string>& labels() const { return labels_; }
     bool up(std::size_t node) const { return controllers_[node] != nullptr; }
@@ -103,7 +103,7 @@
     }
     // Retries a call, as users do, on the live nodes in turn until the response has one of the wanted status
     // codes. Returns the body.
-    Task<Json> insist(std::string method, std::string target, Json body, std::set<int> wanted) {
+    Task<Json> retry_until(std::string method, std::string target, Json body, std::set<int> wanted) {
         for (std::size_t attempt = 0;; ++attempt) {
             const std::size_t node = attempt % controllers_.size();
             if (controllers_[node]) {
@@ -124,7 +124,7 @@
     }
     Task<void> submit(std::string id, std::string team, std::string form, int tasks) {
         const Json body = submission(id, team, form, tasks);
-        auto submitting = insist("POST", "/api/jobs", body, {200, 201});
+        auto submitting = retry_until("POST", "/api/jobs", body, {200, 201});
         co_await std::move(submitting);
     }
     // Submits a job and waits until all its tasks run. Requires that no other task runs.
@@ -132,14 +132,14 @@
         auto submitting = submit(std::move(id), std::move(team), std::move(form), tasks);
         co_await std::move(submitting);
         const std::function<bool()> all_run = [&] {
-            return world.running.size() == static_cast<std::size_t>(tasks);
+            return workload.running.size() == static_cast<std::size_t>(tasks);
         };
         auto waiting = until(all_run);
         co_await std::move(waiting);
     }
     Task<void> until_status(std::string id, std::string wanted) {
         while (true) {
-            auto polling = insist("GET", "/api/jobs/" + id, nullptr, {200});
+            auto polling = retry_until("GET", "/api/jobs/" + id, nullptr, {200});
             const Json job = co_await std::move(polling);
             if (job["status"] == wanted) co_return;
             co_await loop.sleep(Micros{100'000});
@@ -152,16 +152,16 @@
         auto waiting = until_status(std::move(id), "done");
         co_await std::move(waiting);
     }
-    // Returns the number of command requests that the workers hold; see WorkerStandIn::hold_orders.
-    std::size_t held_orders() const {
+    // Returns the number of command requests that the workers hold; see FakeWorker::hold_commands.
+    std::size_t held_command_requests() const {
         std::size_t count = 0;
-        for (const auto& [id, worker] : cloud.workers) count += worker->recorded_attempts.size();
+        for (const auto& [id, worker] : cloud.workers) count += worker->held_requests.size();
         return count;
     }
     // Delivers each held command request, late or once more.
-    void deliver_held_orders() {
+    void deliver_held_commands() {
         for (auto& [id, worker] : cloud.workers) {
-            for (const auto& request : worker->recorded_attempts) (void)worker->late_orders(request);
+            for (const auto& request : worker->held_requests) (void)worker->deliver_late_commands(request);
         }
     }
     // Waits until the condition is true.
@@ -184,17 +184,17 @@
 
     // Runs the scenario; fails the test if the scenario does not finish within 90 s or a worker reports a
     // violation. The time limit only guards against a hanging test.
-    void play(std::function<Task<void>(Site&)> scenario) {
+    void play(std::function<Task<void>(TestDeployment&)> scenario) {
         io::Scope scope;
         bool finished = false;
-        const auto run_scenario = [](Site& site, std::function<Task<void>(Site&)> steps,
+        const auto run_scenario = [](TestDeployment& site, std::function<Task<void>(TestDeployment&)> steps,
                                      bool& done) -> Task<void> {
             auto running = steps(site);
             co_await std::move(running);
             done = true;
             site.loop.stop();
         };
-        const auto stop_at_time_limit = [](Site& site) -> Task<void> {
+        const auto stop_at_time_limit = [](TestDeployment& site) -> Task<void> {
             co_await site.loop.sleep(Micros{90'000'000});
             site.loop.stop();
         };
@@ -202,20 +202,21 @@
         scope.spawn(run_scenario(*this, std::move(scenario), finished));
         loop.run();
         EXPECT_TRUE(finished) << "the scenario did not finish within the time limit";
-        EXPECT_TRUE(world.broken_rules.empty()) << world.broken_rules.front();
+        EXPECT_TRUE(workload.violations.empty()) << workload.violations.front();
         scope.cancel();
         controllers_.clear();
         cloud.workers.clear();
     }
 
-    std::function<void(controller::Settings&)> adjust;  // changes the settings of nodes before they start
+    std::function<void(controller::Settings&)>
+        adjust_settings;  // changes the settings of nodes before they start
     double cancel_s = 10;
     // So long that the tasks of an unresponsive worker end by lease expiry, not by release of its machine.
     Micros silent_release{60'000'000};
     io::Loop loop;
-    WorkerStandIn::World world;
-    StateStandIn state;
-    CloudStandIn cloud;
+    FakeWorker::Workload workload;
+    FakeStore state;
+    FakeCloud cloud;
     io::HttpClient client{loop};
 
   private:
--- a/tests/user_answers_test.cpp
+++ b/tests/user_answers_test.cpp
@@ -4,16 +4,16 @@
 
 #include <random>
 
-#include "site.hpp"
+#include "test_deployment.hpp"
 
 namespace hatchwind {
 namespace {
 
 using io::Micros;
 using io::Task;
-using test::Site;
+using test::TestDeployment;
 using wire::Json;
-using Treatment = test::StateStandIn::Treatment;
+using CommitHandling = test::FakeStore::CommitHandling;
 
 // Users that ask all nodes again and again, repeat submissions and cancel, and check each answer against what
 // had been told before its question was sent.
@@ -25,7 +25,7 @@
         Plan plan = Plan::keep;
     };
 
-    CloseLooks(Site& site, unsigned seed) : site_(site), random_(seed) {}
+    CloseLooks(TestDeployment& site, unsigned seed) : site_(site), random_(seed) {}
 
     Task<void> play(std::vector<Job> jobs, Micros gap) {
         for (Job& job : jobs) {
@@ -69,14 +69,14 @@
         if (!before.final.empty() && state != before.final)
             fault("said " + state + " after " + before.final + " of");
         if (state == "cancelled" && !told.cancel_asked) fault("cancelled by itself");
-        if (state == "done" && site_.world.completed[id + "/0"] == 0) fault("done before its end");
+        if (state == "done" && site_.workload.completed[id + "/0"] == 0) fault("done before its end");
         told.accepted = true;
         if (state == "done" || state == "cancelled") {
             if (!told.final.empty() && told.final != state) fault("two ends of");
             told.final = state;
             if (state == "cancelled")
                 confirmed_cancels_.try_emplace(
-                    id, ConfirmedCancel{io::steady_now(), site_.world.started[id + "/0"]});
+                    id, ConfirmedCancel{io::steady_now(), site_.workload.started[id + "/0"]});
         }
         return state;
     }
@@ -85,12 +85,12 @@
     Task<void> check_cancelled(std::string id) {
         const std::string task = id + "/0";
         const ConfirmedCancel& cancel = confirmed_cancels_.at(id);
-        const std::function<bool()> stopped = [this, task] { return !site_.world.running.contains(task); };
+        const std::function<bool()> stopped = [this, task] { return !site_.workload.running.contains(task); };
         auto waiting = site_.until(stopped);
         co_await std::move(waiting);
         const double stopped_after_s = static_cast<double>((io::steady_now() - cancel.at).count()) / 1e6;
         if (stopped_after_s > site_.cancel_s) broken.push_back("ran too long after its cancel " + id);
-        if (site_.world.started[task] > cancel.starts)
+        if (site_.workload.started[task] > cancel.starts)
             late_starts.push_back("started after its cancel " + id);
     }
     Task<std::string> question(std::size_t node, std::string method, std::string target, Json body,
@@ -103,7 +103,7 @@
     }
     Task<std::string> submit(std::size_t node, std::string id) {
         told_[id].submitted = true;
-        Json body = Site::submission(id, teams_[id], "sweep", 1);
+        Json body = TestDeployment::submission(id, teams_[id], "sweep", 1);
         auto call = question(node, "POST", "/api/jobs", std::move(body), id);
         std::string state = co_await std::move(call);
         co_return state;
@@ -154,13 +154,13 @@
         const std::string task = job.id + "/0";
         if (job.plan == Plan::cancel_while_running) {
             const std::function<bool()> runs = [this, task] {
-                return site_.world.running.contains(task) || site_.world.completed[task] > 0;
+                return site_.workload.running.contains(task) || site_.workload.completed[task] > 0;
             };
             auto waiting = site_.until(runs);
             co_await std::move(waiting);
         }
         if (job.plan == Plan::cancel_at_end) {
-            while (site_.world.completed[task] == 0) co_await site_.loop.sleep(Micros{500});
+            while (site_.workload.completed[task] == 0) co_await site_.loop.sleep(Micros{500});
             co_await site_.loop.sleep(Micros{static_cast<std::int64_t>(random_() % 60'000)});
         }
         if (job.plan != Plan::keep) {
@@ -190,7 +190,7 @@
         --lives_;
     }
 
-    Site& site_;
+    TestDeployment& site_;
     std::minstd_rand random_;
     std::map<std::string, Told> told_;
     std::map<std::string, std::string> teams_;
@@ -213,7 +213,7 @@
 }
 
 // What the store says of each team's recorded attempts: within its limit, and each task on one page only.
-std::vector<std::string> broken_records(const Site& site) {
+std::vector<std::string> broken_records(const TestDeployment& site) {
     std::vector<std::string> broken;
     std::map<std::string, int> chunks;
     for (const auto& [key, item] : site.state.items) {
@@ -226,7 +226,7 @@
     return broken;
 }
 
-void expect_nothing_broken(Site& site, const CloseLooks& looks, int count) {
+void expect_nothing_broken(TestDeployment& site, const CloseLooks& looks, int count) {
     EXPECT_TRUE(looks.broken.empty()) << looks.broken.front() << ", of " << looks.broken.size();
     EXPECT_GT(looks.answers, static_cast<std::size_t>(count) * 20);
     const auto records = broken_records(site);
@@ -234,11 +234,11 @@
 }
 
 // Returns the starts after a confirmed cancel.
-std::vector<std::string> play_close_looks(Site& site, unsigned seed) {
+std::vector<std::string> play_close_looks(TestDeployment& site, unsigned seed) {
     constexpr int kJobs = 24;
     constexpr Micros kBetweenJobs{60'000};
     std::vector<std::string> late_starts;
-    site.play([&late_starts, seed](Site& s) -> Task<void> {
+    site.play([&late_starts, seed](TestDeployment& s) -> Task<void> {
         {
             // Machines are there, so that tasks start at once.
             auto step = s.run_until_done("req-1", "x", "sweep", 8);
@@ -249,46 +249,46 @@
         co_await std::move(playing);
         expect_nothing_broken(s, looks, kJobs);
         late_starts = looks.late_starts;
-        s.state.treat = nullptr;
+        s.state.commit_handling = nullptr;
     });
     return late_starts;
 }
 
 std::vector<std::string> play_right_after_answers() {
-    Site site{3};
+    TestDeployment site{3};
     site.state.watch_latency = Micros{120'000};
     return play_close_looks(site, 11);
 }
 
 std::vector<std::string> play_lost_answers() {
-    Site site{3};
+    TestDeployment site{3};
     site.state.watch_latency = Micros{60'000};
     std::minstd_rand random{5};
-    site.state.treat = [&random](const Json& /*transaction*/) {
-        return random() % 3 == 0 ? Treatment::lose_answer : Treatment::carry_out;
+    site.state.commit_handling = [&random](const Json& /*transaction*/) {
+        return random() % 3 == 0 ? CommitHandling::lose_response : CommitHandling::apply;
     };
     return play_close_looks(site, 12);
 }
 
 std::vector<std::string> play_late_transactions() {
-    Site site{3};
+    TestDeployment site{3};
     site.state.watch_latency = Micros{60'000};
     std::minstd_rand random{6};
     io::Scope late;
-    const auto carry_out = [](Site& s, Micros after, Json transaction) -> Task<void> {
+    const auto apply = [](TestDeployment& s, Micros after, Json transaction) -> Task<void> {
         co_await s.loop.sleep(after);
-        s.state.late_commit(transaction);
+        s.state.deliver_late_commit(transaction);
     };
-    site.state.treat = [&](const Json& transaction) {
+    site.state.commit_handling = [&](const Json& transaction) {
         const auto dice = random() % 10;
         // A refusal of the repeat says nothing about the first copy.
-        if (dice < 2) return Treatment::refuse;
+        if (dice < 2) return CommitHandling::refuse;
         if (dice < 5) {
-            late.spawn(carry_out(site, Micros{static_cast<std::int64_t>(50'000 + random() % 1'500'000)},
-                                 transaction));
-            return Treatment::hold;
+            late.spawn(
+                apply(site, Micros{static_cast<std::int64_t>(50'000 + random() % 1'500'000)}, transaction));
+            return CommitHandling::hold;
         }
-        return Treatment::carry_out;
+        return CommitHandling::apply;
     };
     std::vector<std::string> late_starts = play_close_looks(site, 13);
     late.cancel();
@@ -317,29 +317,30 @@
 
 // The copy has never held the job when the question comes, and has gone past its end when it is answered.
 TEST(UserAnswers, AJobThatEndsBetweenTwoReadsOfTheStoreIsNotForgotten) {
-    Site site{2};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run_until_done("req-1", "x", "sweep", 4);
             co_await std::move(step);
         }
         const std::size_t owner = s.index(s.state.items.at("h/epoch").value["owners"]["x"]);
-        s.world.run_time = Micros{500'000};
+        s.workload.run_time = Micros{500'000};
         s.state.hold_watches = true;
         {
-            const Json body = Site::submission("req-2", "x", "sweep", 1);
+            const Json body = TestDeployment::submission("req-2", "x", "sweep", 1);
             auto call = s.call(owner, "POST", "/api/jobs", body);
             const auto answer = co_await std::move(call);
             EXPECT_EQ(answer.first, 201);
         }
         {
-            const std::function<bool()> reached = [&] { return s.world.running.contains("req-2/0"); };
+            const std::function<bool()> reached = [&] { return s.workload.running.contains("req-2/0"); };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
         io::Scope scope;
         std::pair<int, Json> told{0, nullptr};
-        const auto ask = [](Site& site, std::size_t node, std::pair<int, Json>& into) -> Task<void> {
+        const auto ask = [](TestDeployment& site, std::size_t node,
+                            std::pair<int, Json>& into) -> Task<void> {
             auto call = site.call(node, "GET", "/api/jobs/req-2", nullptr);
             into = co_await std::move(call);
         };
@@ -362,9 +363,9 @@
 // Users of jobs that ended long ago got no answer for as long as the state service took most of a second,
 // while the users of all other jobs did.
 TEST(UserAnswers, AnEndedJobIsAnsweredWhileTheStateServiceIsSlow) {
-    Site site{2};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-2"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.submit("req-1", "x", "sweep", 1);
             co_await std::move(step);
@@ -408,18 +409,18 @@
 // The owner's transaction got no answer, its repeat was refused, and the next plan put the same tasks
 // elsewhere. The first copy came late, and its conditions still held: the tasks were recorded twice.
 TEST(UserAnswers, ALateGroupCommitOfTheSameOwnerRecordsNothing) {
-    Site site{1};
-    site.world.endless = {"req-1", "req-2", "req-3"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.workload.endless_jobs = {"req-1", "req-2", "req-3"};
+    site.play([](TestDeployment& s) -> Task<void> {
         // Two of them fill one page of records, and the third begins another.
         for (const char* id : {"req-1", "req-2", "req-3"}) {
-            Json body = Site::submission(id, "x", "sweep", 250);
+            Json body = TestDeployment::submission(id, "x", "sweep", 250);
             body["cores"] = 0.005;
             body["memGb"] = 0.005;
-            auto step = s.insist("POST", "/api/jobs", body, {200, 201});
+            auto step = s.retry_until("POST", "/api/jobs", body, {200, 201});
             co_await std::move(step);
             const std::string last = std::string{id} + "/249";
-            const std::function<bool()> reached = [&] { return s.world.running.contains(last); };
+            const std::function<bool()> reached = [&] { return s.workload.running.contains(last); };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
@@ -428,16 +429,18 @@
         EXPECT_EQ(pages, 2);
         const auto starts = [](const Json& t) { return t.dump().find("req-4/0") != std::string::npos; };
         int seen = 0;
-        s.state.treat = [&](const Json& t) {
-            if (!starts(t)) return Treatment::carry_out;
+        s.state.commit_handling = [&](const Json& t) {
+            if (!starts(t)) return CommitHandling::apply;
             ++seen;
-            return seen == 1 ? Treatment::hold : seen <= 4 ? Treatment::refuse : Treatment::carry_out;
+            return seen == 1   ? CommitHandling::hold
+                   : seen <= 4 ? CommitHandling::refuse
+                               : CommitHandling::apply;
         };
-        Json body = Site::submission("req-4", "x", "sweep", 60);
+        Json body = TestDeployment::submission("req-4", "x", "sweep", 60);
         body["cores"] = 0.01;
         body["memGb"] = 0.01;
         {
-            auto step = s.insist("POST", "/api/jobs", body, {200, 201});
+            auto step = s.retry_until("POST", "/api/jobs", body, {200, 201});
             co_await std::move(step);
         }
         {
@@ -446,34 +449,34 @@
             co_await std::move(waiting);
         }
         // The first page becomes the emptier one.
-        s.world.endless = {"req-3", "req-4"};
+        s.workload.endless_jobs = {"req-3", "req-4"};
         {
-            const std::function<bool()> reached = [&] { return s.world.running.contains("req-4/0"); };
+            const std::function<bool()> reached = [&] { return s.workload.running.contains("req-4/0"); };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        EXPECT_EQ(s.state.recorded_attempts.size(), 1U);
-        EXPECT_EQ(s.state.late_commit(s.state.recorded_attempts.front()), 409);
+        EXPECT_EQ(s.state.held_requests.size(), 1U);
+        EXPECT_EQ(s.state.deliver_late_commit(s.state.held_requests.front()), 409);
         co_await s.loop.sleep(Micros{1'500'000});
         const auto records = broken_records(s);
         EXPECT_TRUE(records.empty()) << records.front();
-        s.state.treat = nullptr;
+        s.state.commit_handling = nullptr;
     });
 }
 
 // The end of a task is recorded, and only the answer is lost: the worker is told to forget it all the same,
 // or its reports grow with every task that it has run.
 TEST(UserAnswers, EndsWhoseRecordGotNoAnswerAreReaped) {
-    Site site{1};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run_until_done("req-1", "x", "sweep", 4);
             co_await std::move(step);
         }
         bool lost = false;
-        s.state.treat = [&lost](const Json& t) {
+        s.state.commit_handling = [&lost](const Json& t) {
             const bool ends = t["writes"].dump().find("f/req-2") != std::string::npos;
-            return ends && !std::exchange(lost, true) ? Treatment::lose_answer : Treatment::carry_out;
+            return ends && !std::exchange(lost, true) ? CommitHandling::lose_response : CommitHandling::apply;
         };
         {
             auto step = s.run_until_done("req-2", "x", "sweep", 4);
@@ -485,25 +488,25 @@
             co_await s.loop.sleep(Micros{100'000});
             listed = false;
             for (const auto& [id, worker] : s.cloud.workers)
-                listed = listed || worker->last_report["legs"].dump().find("req-2/") != std::string::npos;
+                listed = listed || worker->last_heartbeat["legs"].dump().find("req-2/") != std::string::npos;
         }
         EXPECT_TRUE(lost);
         EXPECT_FALSE(listed);
-        s.state.treat = nullptr;
+        s.state.commit_handling = nullptr;
     });
 }
 
 // The cancel is confirmed between the record of a start and the answer to it.
 TEST(UserAnswers, ACancelConfirmedBeforeTheStartsRecordIsAnsweredStartsNothing) {
-    Site site{1};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.workload.endless_jobs = {"req-2"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         bool recorded = false;
-        s.state.answer_after = [&recorded](const Json& t) {
+        s.state.response_delay = [&recorded](const Json& t) {
             const bool starts = t.dump().find("req-2/0") != std::string::npos;
             recorded = recorded || starts;
             return Micros{starts ? 1'200'000 : 0};
@@ -517,45 +520,45 @@
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
-        auto cancel = s.insist("POST", "/api/jobs/req-2/cancel", nullptr, {200});
+        auto cancel = s.retry_until("POST", "/api/jobs/req-2/cancel", nullptr, {200});
         const Json v = co_await std::move(cancel);
         EXPECT_EQ(v["status"], "cancelled");
-        const int before = s.world.started["req-2/0"];
+        const int before = s.workload.started["req-2/0"];
         {
             const std::function<bool()> reached = [&] { return s.state.items.contains("f/req-2"); };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
         co_await s.loop.sleep(Micros{1'500'000});
-        EXPECT_EQ(s.world.started["req-2/0"], before);
-        s.state.answer_after = nullptr;
+        EXPECT_EQ(s.workload.started["req-2/0"], before);
+        s.state.response_delay = nullptr;
     });
 }
 
 // The store is read anew while a record of this node is on its way: the new copy lacks it until the watch
 // brings it.
 TEST(UserAnswers, AnOwnerPlansNothingFromACopyThatLacksItsOwnRecords) {
-    Site site{1};
-    site.world.endless = {"req-2"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{1};
+    site.workload.endless_jobs = {"req-2"};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run_until_done("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
         bool refuse = true;
         bool beyond = false;
-        s.state.treat = [&](const Json& t) {
+        s.state.commit_handling = [&](const Json& t) {
             const std::string writes = t["writes"].dump();
             beyond = beyond || writes.find("req-3/0") != std::string::npos;
             const bool starts = writes.find("req-2/0") != std::string::npos;
-            return refuse && starts ? Treatment::refuse : Treatment::carry_out;
+            return refuse && starts ? CommitHandling::refuse : CommitHandling::apply;
         };
         // Nearly the team's limit, with free capacity beside it on the machines.
         {
-            Json body = Site::submission("req-2", "x", "sweep", 17);
+            Json body = TestDeployment::submission("req-2", "x", "sweep", 17);
             body["cores"] = 0.9;
             body["expectS"] = 1000.0;
-            auto step = s.insist("POST", "/api/jobs", body, {200, 201});
+            auto step = s.retry_until("POST", "/api/jobs", body, {200, 201});
             co_await std::move(step);
         }
         {
@@ -564,37 +567,37 @@
             co_await std::move(waiting);
         }
         co_await s.loop.sleep(Micros{1'000'000});
-        const std::size_t lists = s.state.lists;
+        const std::size_t list_requests = s.state.list_requests;
         s.state.list_latency = Micros{1'800'000};
-        s.state.oldest = s.state.revision + 1;
-        s.state.late_commit(
+        s.state.compacted_revision = s.state.revision + 1;
+        s.state.deliver_late_commit(
             {{"when", Json::array()}, {"writes", Json::array({Json{{"write", "h/other"}, {"v", 1}}})}});
         {
-            const std::function<bool()> reached = [&] { return s.state.lists > lists; };
+            const std::function<bool()> reached = [&] { return s.state.list_requests > list_requests; };
             auto waiting = s.until(reached);
             co_await std::move(waiting);
         }
         refuse = false;
         s.state.hold_watches = true;
         co_await s.loop.sleep(Micros{1'900'000});
-        EXPECT_EQ(s.world.running.size(), 17U);
+        EXPECT_EQ(s.workload.running.size(), 17U);
         {
-            Json body = Site::submission("req-3", "x", "sweep", 1);
+            Json body = TestDeployment::submission("req-3", "x", "sweep", 1);
             body["cores"] = 0.8;
-            auto step = s.insist("POST", "/api/jobs", body, {200, 201});
+            auto step = s.retry_until("POST", "/api/jobs", body, {200, 201});
             co_await std::move(step);
         }
         co_await s.loop.sleep(Micros{900'000});
         EXPECT_FALSE(beyond) << "planned without its own records, beyond the team's limit";
         s.state.hold_watches = false;
-        s.state.treat = nullptr;
+        s.state.commit_handling = nullptr;
     });
 }
 
 // How a job ended needs no state service once the node has seen it end, and costs it nothing.
 TEST(UserAnswers, EndedJobsAreAnsweredByEveryNodeWithoutTheStateService) {
-    Site site{3};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{3};
+    site.play([](TestDeployment& s) -> Task<void> {
         constexpr int jobs = 12;
         for (int i = 0; i < jobs; ++i) {
             const std::string id = "req-" + std::to_string(i);
@@ -605,7 +608,7 @@
             }
             if (i % 2 == 0) continue;
             std::string target = "/api/jobs/" + id + "/cancel";
-            auto cancel = s.insist("POST", std::move(target), nullptr, {200});
+            auto cancel = s.retry_until("POST", std::move(target), nullptr, {200});
             co_await std::move(cancel);
         }
         {
@@ -626,7 +629,7 @@
             const std::string id = "req-" + std::to_string(i);
             const Json wanted = s.state.items.at("f/" + id).value["s"];
             ++ends[wanted];
-            const Json body = Site::submission(id, "x", "sweep", 2);
+            const Json body = TestDeployment::submission(id, "x", "sweep", 2);
             const std::vector<std::tuple<std::string, std::string, Json>> questions{
                 {"GET", "/api/jobs/" + id, nullptr},
                 {"POST", "/api/jobs", body},
@@ -648,13 +651,13 @@
 
 // Jobs that lack a field, or have one of a wrong kind, or can never run, are never accepted at any node.
 TEST(UserAnswers, JobsThatLackAFieldOrCanNeverRunAreNotAccepted) {
-    Site site{2};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.submit("req-1", "x", "sweep", 1);
             co_await std::move(step);
         }
-        const Json good = Site::submission("req-7", "x", "sweep", 1);
+        const Json good = TestDeployment::submission("req-7", "x", "sweep", 1);
         std::vector<std::pair<Json, int>> cases;
         for (const auto& [field, value] : good.items()) {
             Json bad = good;
@@ -735,15 +738,15 @@
 // A repeated submission of an accepted job is told its state, whatever its body looks like by then and
 // whatever the catalog says; and without the state service nobody is told "no".
 TEST(UserAnswers, ARepeatedSubmissionIsNeverRefused) {
-    Site site{2};
-    site.world.endless = {"req-1"};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.endless_jobs = {"req-1"};
+    site.play([](TestDeployment& s) -> Task<void> {
         for (const char* id : {"req-1", "req-2", "req-3"}) {
             auto step = s.submit(id, "x", std::string{id} == "req-1" ? "service" : "sweep", 1);
             co_await std::move(step);
         }
         {
-            auto cancel = s.insist("POST", "/api/jobs/req-3/cancel", nullptr, {200});
+            auto cancel = s.retry_until("POST", "/api/jobs/req-3/cancel", nullptr, {200});
             co_await std::move(cancel);
         }
         for (const auto& [id, status] :
@@ -754,7 +757,7 @@
         std::map<std::string, std::string> expected{{"req-1", "running"}, {"req-2", "done"}};
         // Whichever came first, the cancel or the end of its only task.
         {
-            auto ask = s.insist("GET", "/api/jobs/req-3", nullptr, {200});
+            auto ask = s.retry_until("GET", "/api/jobs/req-3", nullptr, {200});
             const Json v = co_await std::move(ask);
             expected["req-3"] = v["status"];
         }
@@ -768,7 +771,7 @@
                 s.start(1);
             }
             for (const auto& [id, status] : expected) {
-                const Json good = Site::submission(id, "x", "sweep", 1);
+                const Json good = TestDeployment::submission(id, "x", "sweep", 1);
                 std::vector<Json> bodies{good};
                 for (const char* field : {"crew", "legs", "stashS"}) {
                     bodies.push_back(good);
@@ -799,7 +802,7 @@
         s.state.down = true;
         for (const std::size_t node : {0U, 1U}) {
             for (const char* field : {"legs", "crew"}) {
-                Json body = Site::submission("req-1", "x", "service", 1);
+                Json body = TestDeployment::submission("req-1", "x", "service", 1);
                 body.erase(field);
                 auto call = s.call(node, "POST", "/api/jobs", body);
                 const auto answer = co_await std::move(call);
@@ -813,9 +816,9 @@
 // One-task jobs come fast, a quarter of them cancelled: few writes for each, all pages go, and nothing but
 // final states stays.
 TEST(UserAnswers, ManyOneTaskJobsLeaveNothingButTheirFinalStates) {
-    Site site{2};
-    site.world.run_time = Micros{100'000};
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site{2};
+    site.workload.run_time = Micros{100'000};
+    site.play([](TestDeployment& s) -> Task<void> {
         {
             auto step = s.run_until_done("req-1", "x", "sweep", 8);
             co_await std::move(step);
@@ -831,7 +834,7 @@
             }
             if (i % 4 == 0) {
                 std::string target = "/api/jobs/" + id + "/cancel";
-                auto cancel = s.insist("POST", std::move(target), nullptr, {200});
+                auto cancel = s.retry_until("POST", std::move(target), nullptr, {200});
                 co_await std::move(cancel);
             }
             co_await s.loop.sleep(Micros{20'000});
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -9,8 +9,8 @@
 #include <algorithm>
 
 #include "scheduling/attempt_page_split.hpp"
-#include "site.hpp"
 #include "support.hpp"
+#include "test_deployment.hpp"
 #include "wire/peer_protocol.hpp"
 #include "wire/records.hpp"
 
@@ -19,7 +19,7 @@
 
 using io::Micros;
 using io::Task;
-using test::Site;
+using test::TestDeployment;
 using wire::Json;
 using wire::PeerMessage;
 
@@ -120,7 +120,8 @@
 TEST(MixedVersions, OnlyKindsOfFramesThatProductionKnowsAreSent) {
     // Production ends the connection at a hello of another version and at kinds above 8. A kind added here
     // may go only to controllers that have announced that they know it: kinds 9 and 10 go to those that
-    // announce kHoldsStarts (StartFence.AsksNobodyThatDoesNotAnnounceTheRequest), which production does not.
+    // announce kSupportsStartHolds (StartFence.SendsNoRequestToAPeerThatDoesNotAnnounceIt), which production
+    // does not.
     constexpr std::size_t kProductionKinds = 8;
     EXPECT_EQ(wire::kPeerProtocolVersion, 3U);
     constexpr std::size_t kKindsForHoldsStarts = 2;
@@ -212,9 +213,9 @@
     const auto message = read_frame(from_hex(kProductionCapabilities));
     ASSERT_TRUE(message);
     const auto capabilities = std::get<wire::PeerHeartbeat>(*message).capabilities;
-    EXPECT_EQ(capabilities, core::kKnowsWaitingJobs);
-    EXPECT_EQ(capabilities & core::kSharesWritesFairly, 0U);
-    EXPECT_EQ(capabilities & core::kHoldsStarts, 0U);
+    EXPECT_EQ(capabilities, core::kSupportsWaitingJobs);
+    EXPECT_EQ(capabilities & core::kSupportsFairWriteShare, 0U);
+    EXPECT_EQ(capabilities & core::kSupportsStartHolds, 0U);
 }
 
 TEST(MixedVersions, TheNextEpochKeepsFieldsOfALaterVersion) {
@@ -288,17 +289,17 @@
 constexpr int kJobs = 16;
 std::string job_name(int i) { return "req-" + std::to_string(200000 + i); }
 
-Task<void> fill_page(Site& site) {
+Task<void> fill_page(TestDeployment& site) {
     for (int i = 0; i < kJobs; ++i) {
         auto submitted = site.submit(job_name(i), "x", "service", 1);
         co_await std::move(submitted);
     }
-    const std::function<bool()> all_run = [&site] { return site.world.running.size() == kJobs; };
+    const std::function<bool()> all_run = [&site] { return site.workload.running.size() == kJobs; };
     auto running = site.until(all_run);
     co_await std::move(running);
 }
 
-std::size_t largest_page(const Site& site) {
+std::size_t largest_page(const TestDeployment& site) {
     std::size_t most = 0;
     for (const auto& [key, item] : site.state.items) {
         if (key.starts_with("h/run/")) most = std::max(most, item.value.dump().size());
@@ -309,12 +310,12 @@
 constexpr std::size_t kLowered = 512;  // bytes of a value
 
 TEST(LoweredLimits, RecordsWrittenUnderLargerLimitsAreGoneOnWithInSmallerOnes) {
-    Site site(3);
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site(3);
+    site.play([](TestDeployment& s) -> Task<void> {
         auto filled = fill_page(s);
         co_await std::move(filled);
         EXPECT_GT(largest_page(s), kLowered);  // else this test shows nothing
-        s.adjust = [](controller::Settings& settings) {
+        s.adjust_settings = [](controller::Settings& settings) {
             settings.value_kb = 0.5;
             settings.txn_ops = 4;
         };
@@ -328,10 +329,10 @@
         s.state.value_bytes_limit = kLowered;
         s.state.transaction_limit = 4;
         for (int i = 0; i < kJobs; i += 2) {
-            auto cancelled = s.insist("POST", "/api/jobs/" + job_name(i) + "/cancel", nullptr, {200});
+            auto cancelled = s.retry_until("POST", "/api/jobs/" + job_name(i) + "/cancel", nullptr, {200});
             co_await std::move(cancelled);
         }
-        const std::function<bool()> half_runs = [&s] { return s.world.running.size() == kJobs / 2; };
+        const std::function<bool()> half_runs = [&s] { return s.workload.running.size() == kJobs / 2; };
         auto gone = s.until(half_runs);
         co_await std::move(gone);
         auto more = s.submit("req-300000", "x", "sweep", 8);
@@ -340,17 +341,17 @@
         co_await std::move(last);
         EXPECT_LE(largest_page(s), kLowered);
     });
-    EXPECT_EQ(site.state.oversized, std::vector<std::string>{});
+    EXPECT_EQ(site.state.oversized_transactions, std::vector<std::string>{});
 }
 
 TEST(LoweredLimits, UnitsThatTheStoreRefusesDoNotHoldUpTheOthers) {
     // Limits lowered although nothing was announced: the page of one team can't be written any more.
-    Site site(1);
-    site.play([](Site& s) -> Task<void> {
+    TestDeployment site(1);
+    site.play([](TestDeployment& s) -> Task<void> {
         auto filled = fill_page(s);
         co_await std::move(filled);
         s.state.value_bytes_limit = kLowered;
-        auto cancelled = s.insist("POST", "/api/jobs/" + job_name(0) + "/cancel", nullptr, {200});
+        auto cancelled = s.retry_until("POST", "/api/jobs/" + job_name(0) + "/cancel", nullptr, {200});
         co_await std::move(cancelled);
         auto other = s.submit("req-300000", "y", "sweep", 2);
         co_await std::move(other);
@@ -366,7 +367,7 @@
 };
 
 // Submits one job after the other, as users do, and notes how long the longest took.
-Task<void> keep_submitting(Site& site, Accepted& accepted, int first) {
+Task<void> keep_submitting(TestDeployment& site, Accepted& accepted, int first) {
     for (int i = 0; !accepted.stop; ++i) {
         const std::string id = "req-" + std::to_string(first + i);
         const Micros began = io::steady_now();
@@ -378,7 +379,7 @@
     }
 }
 
-Task<void> until_healthy(Site& site, std::size_t node) {
+Task<void> until_healthy(TestDeployment& site, std::size_t node) {
     while (true) {
         auto asked = site.call(node, "GET", "/healthz", nullptr);
         const auto answer = co_await std::move(asked);
@@ -388,7 +389,7 @@
 }
 
 // Restarts controllers in the order given; each is killed once more while it starts.
-Task<void> restart_in_order(Site& site, std::vector<std::size_t> order, std::size_t at_once) {
+Task<void> restart_in_order(TestDeployment& site, std::vector<std::size_t> order, std::size_t at_once) {
     for (std::size_t first = 0; first < order.size(); first += at_once) {
         const std::size_t end = std::min(order.size(), first + at_once);
         for (std::size_t i = first; i < end; ++i) site.kill(order[i]);
@@ -407,8 +408,8 @@
 void roll_in_every_order(std::size_t at_once) {
     std::vector<std::size_t> order{0, 1, 2};
     do {
-        Site site(3);
-        site.play([&order, at_once](Site& s) -> Task<void> {
+        TestDeployment site(3);
+        site.play([&order, at_once](TestDeployment& s) -> Task<void> {
             auto first = s.submit("req-100000", "z", "service", 2);
             co_await std::move(first);
             io::Scope users;
--- a/tests/wire_store_test.cpp
+++ b/tests/wire_store_test.cpp
@@ -28,14 +28,14 @@
     EXPECT_FALSE(wire::parse_get_response("a", Json::array()).has_value());
 }
 
-TEST(StoreMessages, AMissingKeyIsAnsweredWithTheRevisionOfTheStore) {
+TEST(StoreMessages, AMissingKeyReturnsTheRevisionOfTheStore) {
     EXPECT_EQ(*wire::parse_revision({{"ledger", 412U}}), 412U);
     for (const Json& invalid :
          {Json::object(), Json{{"ledger", "412"}}, Json{{"ledger", nullptr}}, Json(412)})
         EXPECT_EQ(wire::parse_revision(invalid).error().field, "ledger") << invalid;
 }
 
-TEST(StoreMessages, ACommitResponseTellsRevisionAndFailedConditions) {
+TEST(StoreMessages, ACommitResponseHoldsRevisionAndFailedConditions) {
     const auto committed = wire::parse_commit_response({{"ledger", 9U}});
     ASSERT_TRUE(committed.has_value());
     EXPECT_EQ(committed->revision, 9U);
@@ -94,7 +94,7 @@
     EXPECT_EQ(member.mod_revision, 41U);
 }
 
-TEST(MemberRecords, OfEarlierVersionsAnnounceNothing) {
+TEST(MemberRecords, OfEarlierVersionsHaveNoCapabilities) {
     EXPECT_EQ(wire::parse_member_record({{"grant", 7U}}, 1).capabilities, 0U);
     EXPECT_EQ(wire::parse_member_record(Json::array(), 1).store_lease, 0U);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -9,7 +9,7 @@
 namespace hatchwind {
 namespace {
 
-using test::holds;
+using test::check_property;
 using wire::Json;
 
 Json submission() {
@@ -83,7 +83,7 @@
 }
 
 TEST(Cbor, ArbitraryBytesNeverCrashAReader) {
-    holds("any bytes are refused or read", [](const std::string& bytes) {
+    check_property("any bytes are refused or read", [](const std::string& bytes) {
         if (const auto v = wire::decode(bytes)) {
             (void)wire::parse_submission(*v);
             (void)wire::parse_worker_heartbeat(*v);
@@ -103,7 +103,7 @@
                     {"warningS", nullptr}, {"legs", {task}}};
     const std::string bytes = wire::encode(good);
     ASSERT_TRUE(wire::parse_worker_heartbeat(*wire::decode(bytes)).has_value());
-    holds("one changed byte", [&] {
+    check_property("one changed byte", [&] {
         std::string damaged = bytes;
         const auto at = *rc::gen::inRange<std::size_t>(0, damaged.size());
         damaged[at] = static_cast<char>(*rc::gen::inRange(0, 256));
@@ -112,7 +112,7 @@
 }
 
 TEST(Records, JobsAndChunksComeBackAsTheyWere) {
-    holds("round trip", [] {
+    check_property("round trip", [] {
         core::Job j = test::job("req-1", "x", static_cast<std::uint32_t>(*rc::gen::inRange(1, 100'001)),
                                 *rc::gen::element(0.5, 2.0, 64.0));
         j.kind = static_cast<core::JobKind>(*rc::gen::inRange(0, 3));
