--- a/tests/test_deployment.hpp
+++ b/tests/test_deployment.hpp
@@ -48,11 +48,12 @@
         settings.api = addresses_[node];
         settings.mesh = peer_mesh_[node];
         for (std::size_t peer = 0; peer < labels_.size(); ++peer) {
-            if (peer != node)
+            if (peer != node) {
                 settings.peers.push_back({labels_[peer], "a",
                                           node == relayed_node_ || peer == relayed_node_
                                               ? peer_relays_[peer]->address
                                               : peer_mesh_[peer]});
+            }
         }
         settings.cloud = cloud.address;
         settings.state = node == relayed_node_ ? state_relay_->address : state.address;
